--- a/packages/eelgrassdrum-cli/tests/test_maintenance.py
+++ b/packages/eelgrassdrum-cli/tests/test_maintenance.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from eelgrassdrum_cli import ExitCode, _commands_maintenance
-from eelgrassdrum_core._waves_planner import BudgetRoom, WaveInstance, WavePool, WaveView
+from eelgrassdrum_core._waves_planner import WaveBudget, WaveInstance, WavePool, WaveView
 from eelgrassdrum_daemon._operator_fleet import view_maintenance
 from eelgrassdrum_testing import operator_platform as fakes
 from eelgrassdrum_testing._harness import make_pool_fleet, order_maintenance
@@ -60,4 +60,4 @@
     """A budget that lets nothing stop leaves the plan empty instead of breaking it."""
     instance = WaveInstance("i1", "a", "a-r1", True)
     pool = WavePool("fleet/p", "endpoint", "b", False, 1, 1, 1, 1, (instance,))
-    assert _commands_maintenance.preview(WaveView((pool,), {"b": BudgetRoom(0, 0)})) == []
+    assert _commands_maintenance.preview(WaveView((pool,), {"b": WaveBudget(0, 0)})) == []
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_controllers.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_controllers.py
@@ -14,19 +14,19 @@
 from ._effects import Emit
 from ._events import LogUnavailable, RecordFolded, RecordWanted, Ticked
 from ._fleet_messages import CONTROLLER_CLAIMED, controller_subject
-from ._fleet_state import NEVER_S, AskedRecord
+from ._fleet_state import NEVER_S, ProposedRecord
 from ._handlers import HandlerTable
 from ._pools import Claim, shards
 from ._state import State
 
 CHECK_EVERY_S = 0.5
 # Longer than two renewals of a lease.
-SILENT_AFTER_S = 25.0
+RENEWAL_TIMEOUT_S = 25.0
 # After the log was out, every instance gets time for a renewal before shards are taken over.
-LOG_BACK_S = 15.0
+LOG_RECOVERY_S = 15.0
 # A first choice takes an idle shard over from a live controller after this time.
-PREFERRED_AFTER_S = 60.0
-ASK_AGAIN_S = 5.0
+PREFERRED_TAKEOVER_S = 60.0
+PROPOSE_AGAIN_S = 5.0
 
 
 def owned_shards(state: State) -> list[str]:
@@ -56,7 +56,7 @@
     return 0 if claim is None else claim.offset
 
 
-def ask_record(state: State, kind: str, subject: str, body: dict[str, Any]) -> Iterator[object]:
+def propose_record(state: State, kind: str, subject: str, body: dict[str, Any]) -> Iterator[object]:
     """
     Ask for a record once for each revision of its subject, and again when nothing came of it.
 
@@ -71,10 +71,14 @@
     if not state.log.available:
         return
     base = state.fold.position.revisions.get(subject, 0)
-    asked = state.fleet.asked.get(subject)
-    if asked is not None and asked.base == base and state.now_s - asked.at_s < ASK_AGAIN_S:
+    proposed = state.fleet.proposed.get(subject)
+    if (
+        proposed is not None
+        and proposed.base == base
+        and state.now_s - proposed.at_s < PROPOSE_AGAIN_S
+    ):
         return
-    state.fleet.asked[subject] = AskedRecord(base, state.now_s)
+    state.fleet.proposed[subject] = ProposedRecord(base, state.now_s)
     yield Emit(RecordWanted(kind, subject, base, body))
 
 
@@ -84,15 +88,15 @@
     """
     if event.accepted and event.record.kind == HOLDER_RENEWED:
         state.fleet.renewed_s[event.record.id.writer] = state.now_s
-    state.fleet.asked.pop(event.record.subject, None)
+    state.fleet.proposed.pop(event.record.subject, None)
     yield from ()
 
 
-def on_log_lost(state: State, event: LogUnavailable) -> Iterator[object]:
+def on_log_unavailable(state: State, event: LogUnavailable) -> Iterator[object]:
     """
     Note that nobody's renewals can be seen now.
     """
-    state.fleet.log_lost_s = state.now_s
+    state.fleet.log_unavailable_s = state.now_s
     yield from ()
 
 
@@ -101,20 +105,20 @@
     Claim the shards that this instance should control.
     """
     fleet = state.fleet
-    if state.now_s - fleet.checked_s < CHECK_EVERY_S:
+    if state.now_s - fleet.claims_checked_s < CHECK_EVERY_S:
         return
-    fleet.checked_s = state.now_s
+    fleet.claims_checked_s = state.now_s
     if state.stopping or not state.log.available or not state.log.caught_up:
         return
     candidates = _candidates(state)
     for shard in shards(state.fold):
         if _should_claim(state, shard, candidates):
             subject = controller_subject(shard)
-            yield from ask_record(state, CONTROLLER_CLAIMED, subject, {"shard": shard})
+            yield from propose_record(state, CONTROLLER_CLAIMED, subject, {"shard": shard})
 
 
 def _candidates(state: State) -> list[str]:
-    since_s = state.now_s - SILENT_AFTER_S
+    since_s = state.now_s - RENEWAL_TIMEOUT_S
     renewed_s = state.fleet.renewed_s
     holders = state.fold.allowances.holders
     return [name for name in holders if renewed_s.get(name, NEVER_S) >= since_s]
@@ -135,12 +139,12 @@
         return True
     if (claim.instance, claim.incarnation) == (own.instance, own.incarnation):
         return False
-    if _is_gone(state, claim, candidates):
-        return state.now_s - state.fleet.log_lost_s >= LOG_BACK_S
-    return state.now_s - since_s >= PREFERRED_AFTER_S and not _is_moving(state, shard)
+    if _is_claim_expired(state, claim, candidates):
+        return state.now_s - state.fleet.log_unavailable_s >= LOG_RECOVERY_S
+    return state.now_s - since_s >= PREFERRED_TAKEOVER_S and not _is_moving(state, shard)
 
 
-def _is_gone(state: State, claim: Claim, candidates: list[str]) -> bool:
+def _is_claim_expired(state: State, claim: Claim, candidates: list[str]) -> bool:
     lease = state.fold.allowances.holders.get(claim.instance)
     if lease is None or lease.incarnation != claim.incarnation:
         return True
@@ -154,6 +158,6 @@
 
 HANDLERS: HandlerTable = {
     RecordFolded: on_folded,
-    LogUnavailable: on_log_lost,
+    LogUnavailable: on_log_unavailable,
     Ticked: on_tick,
 }
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fleet_messages.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fleet_messages.py
@@ -37,7 +37,7 @@
 FAILED = "failed"
 
 
-class ObservedInstance(NamedTuple):
+class InventoryInstance(NamedTuple):
     """
     One instance as the platform's inventory shows it.
 
@@ -57,11 +57,11 @@
     booted_at_s: float
 
 
-class FleetObserved(NamedTuple):
+class InventoryReceived(NamedTuple):
     """
     The platform's inventory was read.
 
-    :param asked_s: own time at which the read was asked for.
+    :param requested_s: own time at which the read was asked for.
     :param at_s: the platform's time.
     :param since: version that the answer builds on, 0 for a whole inventory.
     :param version: version of the inventory after it.
@@ -69,11 +69,11 @@
     :param removed: ids of instances that the platform no longer has.
     """
 
-    asked_s: float
+    requested_s: float
     at_s: float
     since: int
     version: int
-    instances: tuple[ObservedInstance, ...]
+    instances: tuple[InventoryInstance, ...]
     removed: tuple[str, ...] = ()
 
 
@@ -93,16 +93,16 @@
     state: str
 
 
-class ReadFleet(NamedTuple):
+class ReadInventory(NamedTuple):
     """
     Read what has changed in the platform's inventory of instances.
 
-    :param asked_s: own time, which comes back with the answer.
+    :param requested_s: own time, which comes back with the answer.
     :param shards: documents whose pools' instances are wanted.
     :param since: version that is known, 0 for none.
     """
 
-    asked_s: float
+    requested_s: float
     shards: tuple[str, ...]
     since: int
 
@@ -150,11 +150,11 @@
     Requests of one service at one entry instance, over the time since its last report.
 
     :param service: ``WORKSPACE/SERVICE``.
-    :param levels: requests that ran or waited, as quantiles in rising order.
+    :param quantiles: requests that ran or waited, as quantiles in rising order.
     """
 
     service: str
-    levels: tuple[int, ...]
+    quantiles: tuple[int, ...]
 
 
 @register_message
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fleet_records.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fleet_records.py
@@ -18,7 +18,7 @@
 REASON_UNKNOWN_POOL = "unknown_pool"
 REASON_POOL_FULL = "pool_full"
 REASON_OVER_BUDGET = "over_budget"
-REASON_OTHER_WANTED = "operator_wants_other_pool"
+REASON_OPERATOR_WANTS_OTHER = "operator_wants_other_pool"
 REASON_NO_SPARE = "no_spare_pool"
 
 
@@ -86,7 +86,7 @@
     shard: str
 
 
-def read(record: Record, body_type: type[T]) -> T | None:
+def read_body(record: Record, body_type: type[T]) -> T | None:
     """
     Read a record's body.
 
@@ -100,7 +100,7 @@
         return None
 
 
-def entry(fold: FoldView, record: Record, instance: str) -> FleetInstance | None:
+def find_instance(fold: FoldView, record: Record, instance: str) -> FleetInstance | None:
     """
     Find the instance that a record of moves is about.
 
@@ -128,7 +128,7 @@
     return current == Claim(record.id.writer, record.id.incarnation, claim)
 
 
-def is_way(fold: FoldView, origin: str, target: str) -> bool:
+def can_move(fold: FoldView, origin: str, target: str) -> bool:
     """
     Tell whether an instance may ever move from one pool to another.
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fleet_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fleet_state.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from ._fleet_messages import ObservedInstance, ServiceLoad
+from ._fleet_messages import InventoryInstance, ServiceLoad
 
 NEVER_S = float("-inf")
 
 
-class AskedRecord(NamedTuple):
+class ProposedRecord(NamedTuple):
     """
     A record that was asked for and is not decided yet.
 
@@ -43,39 +43,39 @@
     failures: int = 0
 
 
-class Setback(NamedTuple):
+class DrainBackoff(NamedTuple):
     """
     Drains of an instance that did not end in time.
 
-    :param drains: how many in a row.
+    :param failed_drains: how many in a row.
     :param retry_at_s: time before which it is not drained again.
     """
 
-    drains: int
+    failed_drains: int
     retry_at_s: float
 
 
-class Observation(msgspec.Struct):
+class Inventory(msgspec.Struct):
     """
     The platform's inventory as last read.
 
     :param at_s: the platform's time in it.
-    :param asked_s: own time at which the read was asked for; after a pause that is long ago.
+    :param requested_s: own time at which the read was asked for; after a pause that is long ago.
     :param version: version of the inventory.
     :param shards: documents whose instances it holds.
     :param instances: instances by id.
-    :param gone_s: own time at which an instance of the fold was first found missing.
+    :param missing_since_s: own time at which an instance of the fold was first found missing.
     """
 
     at_s: float = 0.0
-    asked_s: float = NEVER_S
+    requested_s: float = NEVER_S
     version: int = 0
     shards: tuple[str, ...] = ()
-    instances: dict[str, ObservedInstance] = msgspec.field(default_factory=dict)
-    gone_s: dict[str, float] = msgspec.field(default_factory=dict)
+    instances: dict[str, InventoryInstance] = msgspec.field(default_factory=dict)
+    missing_since_s: dict[str, float] = msgspec.field(default_factory=dict)
 
 
-class DownMemo(NamedTuple):
+class DownCache(NamedTuple):
     """
     The instances that are down or unseen, worked out once for each moment.
 
@@ -129,41 +129,41 @@
     """
     State of controllers, moves and planning at this instance.
 
-    :param down: instances that are down or unseen, as last worked out.
+    :param down_cache: instances that are down or unseen, as last worked out.
     :param renewed_s: own time at which each entry instance was last seen to write to the log.
-    :param log_lost_s: own time at which the log was last out of reach.
+    :param log_unavailable_s: own time at which the log was last out of reach.
     :param preferred_since_s: time since which this instance is first choice of a shard.
-    :param asked: records asked for, by subject.
+    :param proposed: records asked for, by subject.
     :param progress: steps under way by instance.
-    :param setbacks: instances whose drains did not end.
+    :param drain_backoffs: instances whose drains did not end.
     :param load_samples: samples of the own load since the last report.
     :param load_counts: requests of each service in those samples that found any.
-    :param loads: load of each service by entry instance.
+    :param load_reports: load of each service by entry instance.
     :param demand: history of demand by service.
-    :param planned_s: time of the last plan by shard.
-    :param maintained_s: time of the last plan of maintenance by shard.
+    :param moves_planned_s: time of the last plan by shard.
+    :param maintenance_planned_s: time of the last plan of maintenance by shard.
     :param known_failures: failures that a shard's last order has accepted.
-    :param stopped_s: time at which instances were last seen stopped for maintenance.
+    :param last_stopped_s: time at which instances were last seen stopped for maintenance.
     """
 
-    checked_s: float = NEVER_S
-    observed_s: float = NEVER_S
-    reported_s: float = NEVER_S
-    sampled_s: float = NEVER_S
-    log_lost_s: float = NEVER_S
-    observation: Observation = msgspec.field(default_factory=Observation)
-    down: DownMemo = DownMemo(NEVER_S, 0, frozenset())
+    claims_checked_s: float = NEVER_S
+    inventory_read_s: float = NEVER_S
+    load_reported_s: float = NEVER_S
+    demand_sampled_s: float = NEVER_S
+    log_unavailable_s: float = NEVER_S
+    inventory: Inventory = msgspec.field(default_factory=Inventory)
+    down_cache: DownCache = DownCache(NEVER_S, 0, frozenset())
     renewed_s: dict[str, float] = msgspec.field(default_factory=dict)
     preferred_since_s: dict[str, float] = msgspec.field(default_factory=dict)
-    asked: dict[str, AskedRecord] = msgspec.field(default_factory=dict)
+    proposed: dict[str, ProposedRecord] = msgspec.field(default_factory=dict)
     progress: dict[str, StepProgress] = msgspec.field(default_factory=dict)
-    setbacks: dict[str, Setback] = msgspec.field(default_factory=dict)
+    drain_backoffs: dict[str, DrainBackoff] = msgspec.field(default_factory=dict)
     load_sampled_s: float = NEVER_S
     load_samples: int = 0
     load_counts: dict[str, list[int]] = msgspec.field(default_factory=dict)
-    loads: dict[str, LoadReport] = msgspec.field(default_factory=dict)
+    load_reports: dict[str, LoadReport] = msgspec.field(default_factory=dict)
     demand: dict[str, DemandHistory] = msgspec.field(default_factory=dict)
-    planned_s: dict[str, float] = msgspec.field(default_factory=dict)
-    maintained_s: dict[str, float] = msgspec.field(default_factory=dict)
-    stopped_s: dict[str, float] = msgspec.field(default_factory=dict)
+    moves_planned_s: dict[str, float] = msgspec.field(default_factory=dict)
+    maintenance_planned_s: dict[str, float] = msgspec.field(default_factory=dict)
+    last_stopped_s: dict[str, float] = msgspec.field(default_factory=dict)
     known_failures: dict[str, KnownFailures] = msgspec.field(default_factory=dict)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_maintenance.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_maintenance.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from ._controllers import ask_record, claim_of, owned_shards
+from ._controllers import claim_of, owned_shards, propose_record
 from ._effects import WriteLog
 from ._events import Ticked
 from ._fleet_messages import (
@@ -20,46 +20,46 @@
     maintenance_subject,
 )
 from ._fleet_state import NEVER_S, KnownFailures
-from ._fleet_view import down_instances, is_fresh, platform_now_s
+from ._fleet_view import down_instances, is_inventory_fresh, platform_now_s
 from ._handlers import HandlerTable
 from ._maintenance_fold import PAUSE, Round
-from ._pools import FleetInstance, arriving, departing, pools_of, shard_of
+from ._pools import FleetInstance, count_arriving, count_departing, pools_of, shard_of
 from ._pools_budget import budget_of
 from ._pools_config import Pool
-from ._pools_control import is_paused, start_move, weights_of
+from ._pools_control import is_backing_off, start_move, weights_of
 from ._state import State
-from ._waves_planner import BudgetRoom, WaveInstance, WavePool, WaveView, plan_wave
+from ._waves_planner import WaveBudget, WaveInstance, WavePool, WaveView, plan_wave
 
 PERIOD_S = 14 * 86_400.0
 # Part of the period after which an instance is due, so that the rest is left for the work.
-DUE_AFTER = 0.7
+DUE_FRACTION = 0.7
 PLAN_EVERY_S = 5.0
 # Keeps a large round from filling the log with records.
 STOPS_PER_PLAN = 50
 # Time after a stop during which a failure of the instance is held against the round.
-WATCH_S = 300.0
-FAILED_TRIES = 2
+STOP_WATCH_S = 300.0
+FAILED_ATTEMPTS = 2
 # Time after a reboot until the inventory shows it.
-SETTLE_S = 5.0
+INVENTORY_LAG_S = 5.0
 # Failures from which a round is paused: of stopped instances, and of others in one rack or zone.
 RELATED_STOPS = 2
 RELATED_IN_RACK = 2
 RELATED_IN_ZONE = 3
 # Part of a zone's instances that must be down in a large zone.
 RELATED_ZONE_SHARE = 0.02
-CONTROLLER = "controller"
+CONTROLLER_AUTHOR = "controller"
 
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
     Plan the maintenance of each shard that is controlled here when its turn has come.
     """
-    if state.stopping or not state.log.available or not is_fresh(state):
+    if state.stopping or not state.log.available or not is_inventory_fresh(state):
         return
     for shard in owned_shards(state):
-        planned_s = state.fleet.maintained_s.get(shard, NEVER_S)
+        planned_s = state.fleet.maintenance_planned_s.get(shard, NEVER_S)
         if state.now_s - planned_s >= PLAN_EVERY_S:
-            state.fleet.maintained_s[shard] = state.now_s
+            state.fleet.maintenance_planned_s[shard] = state.now_s
             yield from maintain_shard(state, shard)
 
 
@@ -71,7 +71,7 @@
     :param shard: name of the document.
     :returns: the effects.
     """
-    _note_stops(state, shard)
+    _track_stops(state, shard)
     current = round_of(state, shard)
     if current.is_paused:
         return
@@ -109,10 +109,10 @@
     """
     if entry.booted_offset < round_of(state, shard_of(entry.pool)).offset:
         return True
-    return age_s(state, name, entry) >= PERIOD_S * DUE_AFTER
+    return boot_age_s(state, name, entry) >= PERIOD_S * DUE_FRACTION
 
 
-def age_s(state: State, name: str, entry: FleetInstance) -> float:
+def boot_age_s(state: State, name: str, entry: FleetInstance) -> float:
     """
     Give the time since the last boot of an instance.
 
@@ -121,7 +121,7 @@
     :param entry: the instance.
     :returns: seconds of the platform's time, 0 before an inventory was read.
     """
-    seen = state.fleet.observation.instances.get(name)
+    seen = state.fleet.inventory.instances.get(name)
     booted_at_s = max(entry.booted_at_s, 0.0 if seen is None else seen.booted_at_s)
     return max(0.0, platform_now_s(state) - booted_at_s)
 
@@ -136,7 +136,7 @@
     :returns: plain data.
     """
     pools = pools_of(state.fold, shard).values()
-    budgets: dict[str, BudgetRoom] = {}
+    budgets: dict[str, WaveBudget] = {}
     for pool in pools:
         _add_budget(state, budgets, pool, down)
     wave_pools = tuple(_wave_pool(state, pool, down) for pool in pools)
@@ -153,7 +153,7 @@
     :returns: what was found, or an empty text.
     """
     instances = state.fold.pools.instances
-    new = _settled(state, down) - _known_failures(state, shard, down)
+    new = _without_recent_reboots(state, down) - _known_failures(state, shard, down)
     stopped = _failed_stops(state, shard, new)
     if len(stopped) >= RELATED_STOPS:
         return f"{len(stopped)} maintained instances failed: {', '.join(stopped)}"
@@ -172,12 +172,12 @@
     return ""
 
 
-def _settled(state: State, down: frozenset[str]) -> frozenset[str]:
+def _without_recent_reboots(state: State, down: frozenset[str]) -> frozenset[str]:
     """
     Leave out instances that the inventory can't yet show as back from their reboot.
     """
     instances = state.fold.pools.instances
-    until_s = state.fleet.observation.at_s - SETTLE_S
+    until_s = state.fleet.inventory.at_s - INVENTORY_LAG_S
     return frozenset(name for name in down if instances[name].booted_at_s <= until_s)
 
 
@@ -195,18 +195,18 @@
 def _failed_stops(state: State, shard: str, down: frozenset[str]) -> list[str]:
     fleet = state.fleet
     failed = []
-    for name in fleet.stopped_s:
+    for name in fleet.last_stopped_s:
         entry = state.fold.pools.instances.get(name)
         if entry is None or shard_of(entry.pool) != shard:
             continue
         progress = fleet.progress.get(name)
-        is_failing = progress is not None and progress.failures >= FAILED_TRIES
+        is_failing = progress is not None and progress.failures >= FAILED_ATTEMPTS
         if is_failing or (entry.step == IN_SERVICE and name in down):
             failed.append(name)
     return sorted(failed)
 
 
-def _note_stops(state: State, shard: str) -> None:
+def _track_stops(state: State, shard: str) -> None:
     """
     Remember which instances are stopped for maintenance, or were until a while ago.
     """
@@ -214,27 +214,27 @@
     for name in state.fold.pools.moving:
         entry = instances[name]
         if entry.purpose == PURPOSE_MAINTENANCE and shard_of(entry.pool) == shard:
-            fleet.stopped_s[name] = state.now_s
-    for name, at_s in list(fleet.stopped_s.items()):
-        if name not in instances or state.now_s - at_s > WATCH_S:
-            del fleet.stopped_s[name]
+            fleet.last_stopped_s[name] = state.now_s
+    for name, at_s in list(fleet.last_stopped_s.items()):
+        if name not in instances or state.now_s - at_s > STOP_WATCH_S:
+            del fleet.last_stopped_s[name]
 
 
 def _pause(state: State, shard: str, reason: str) -> Iterator[object]:
     body = {
         "shard": shard,
         "action": PAUSE,
-        "author": CONTROLLER,
+        "author": CONTROLLER_AUTHOR,
         "reason": reason,
         "claim": claim_of(state, shard),
     }
-    state.fleet.stopped_s.clear()
+    state.fleet.last_stopped_s.clear()
     yield WriteLog("maintenance.paused", {"shard": shard, "reason": reason})
-    yield from ask_record(state, MAINTENANCE_ORDERED, maintenance_subject(shard), body)
+    yield from propose_record(state, MAINTENANCE_ORDERED, maintenance_subject(shard), body)
 
 
 def _add_budget(
-    state: State, budgets: dict[str, BudgetRoom], pool: Pool, down: frozenset[str]
+    state: State, budgets: dict[str, WaveBudget], pool: Pool, down: frozenset[str]
 ) -> None:
     instances = state.fold.pools.instances
     away = [
@@ -244,10 +244,10 @@
     ]
     name = pool.service or pool.name
     known = budgets.get(name)
-    room = budget_of(state.fold, pool, down).room if known is None else known.room
+    headroom = budget_of(state.fold, pool, down).headroom if known is None else known.headroom
     under_way = len(away) + (0 if known is None else known.under_way)
     zones = tuple(entry.zone for entry in away) + (() if known is None else known.zones)
-    budgets[name] = BudgetRoom(room, under_way, zones)
+    budgets[name] = WaveBudget(headroom, under_way, zones)
 
 
 def _wave_pool(state: State, pool: Pool, down: frozenset[str]) -> WavePool:
@@ -255,9 +255,9 @@
     members = fold.members.get(pool.name, [])
     instances = [
         WaveInstance(name, fold.instances[name].zone, fold.instances[name].rack, due)
-        for name, due in _may_stop(state, members, down)
+        for name, due in _stoppable_instances(state, members, down)
     ]
-    size = len(members) + arriving(fold, pool.name) - departing(fold, pool.name)
+    size = len(members) + count_arriving(fold, pool.name) - count_departing(fold, pool.name)
     return WavePool(
         pool.name,
         pool.role,
@@ -271,14 +271,16 @@
     )
 
 
-def _may_stop(state: State, members: list[str], down: frozenset[str]) -> Iterator[tuple[str, bool]]:
+def _stoppable_instances(
+    state: State, members: list[str], down: frozenset[str]
+) -> Iterator[tuple[str, bool]]:
     able = [
-        (-age_s(state, name, entry), name, entry)
+        (-boot_age_s(state, name, entry), name, entry)
         for name, entry in ((name, state.fold.pools.instances[name]) for name in members)
         if entry.step == IN_SERVICE
         and not entry.wanted
         and name not in down
-        and not is_paused(state, name)
+        and not is_backing_off(state, name)
     ]
     for _, name, entry in sorted(able, key=lambda item: item[:2]):
         yield name, is_due(state, name, entry)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_maintenance_fold.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_maintenance_fold.py
@@ -80,7 +80,7 @@
     :param record: a ``maintenance.ordered`` record.
     :returns: a reason to reject it, or an empty text.
     """
-    body = records.read(record, OrderBody)
+    body = records.read_body(record, OrderBody)
     if body is None or body.action not in ACTIONS:
         return REASON_INVALID_ORDER
     if record.subject != maintenance_subject(body.shard) or not fold.config.pools.get(body.shard):
@@ -100,7 +100,7 @@
     return ""
 
 
-def is_called_back(fold: MaintenanceView, pool: str, epoch: int) -> bool:
+def is_round_aborted(fold: MaintenanceView, pool: str, epoch: int) -> bool:
     """
     Tell whether a maintenance stop belongs to a round that was ended since.
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_moves.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_moves.py
@@ -12,7 +12,7 @@
 
 from collections.abc import Iterator
 
-from ._controllers import ask_record, claim_of, owned_shards
+from ._controllers import claim_of, owned_shards, propose_record
 from ._effects import WriteLog
 from ._events import Ticked
 from ._fleet_messages import (
@@ -33,10 +33,10 @@
     StepReported,
     move_subject,
 )
-from ._fleet_state import Setback, StepProgress
-from ._fleet_view import down_instances, is_fresh, platform_now_s
+from ._fleet_state import DrainBackoff, StepProgress
+from ._fleet_view import down_instances, is_inventory_fresh, platform_now_s
 from ._handlers import HandlerTable
-from ._maintenance_fold import is_called_back
+from ._maintenance_fold import is_round_aborted
 from ._pools import FleetInstance, pools_of, shard_of
 from ._pools_budget import budget_of
 from ._state import State
@@ -45,8 +45,8 @@
 # Added to the longest run time of the pool's queues.
 DRAIN_MARGIN_S = 30.0
 DRAIN_LIMIT_DEFAULT_S = 900.0
-SETBACK_PAUSE_S = 600.0
-LONGEST_PAUSE_S = 86_400.0
+DRAIN_BACKOFF_S = 600.0
+MAX_DRAIN_BACKOFF_S = 86_400.0
 STUCK_AFTER = 3
 
 
@@ -61,7 +61,7 @@
     for name in list(moving):
         entry = state.fold.pools.instances[name]
         if shard_of(entry.pool) in owned:
-            yield from _push(state, name, entry)
+            yield from _advance_step(state, name, entry)
 
 
 def on_reported(state: State, event: StepReported) -> Iterator[object]:
@@ -83,7 +83,7 @@
     wanted = DRAIN if entry.step == DRAINING else JOIN
     progress.is_acknowledged = progress.is_acknowledged or event.action == wanted
     if shard_of(entry.pool) in owned_shards(state):
-        yield from _push(state, event.instance, entry)
+        yield from _advance_step(state, event.instance, entry)
 
 
 def drain_limit_s(state: State, entry: FleetInstance) -> float:
@@ -108,35 +108,35 @@
     :param state: the state.
     :returns: ids, sorted.
     """
-    setbacks = state.fleet.setbacks.items()
-    return sorted(name for name, setback in setbacks if setback.drains >= STUCK_AFTER)
+    drain_backoffs = state.fleet.drain_backoffs.items()
+    return sorted(name for name, setback in drain_backoffs if setback.failed_drains >= STUCK_AFTER)
 
 
-def _push(state: State, name: str, entry: FleetInstance) -> Iterator[object]:
+def _advance_step(state: State, name: str, entry: FleetInstance) -> Iterator[object]:
     progress = state.fleet.progress.get(name)
     if progress is None or progress.epoch != entry.epoch:
         progress = StepProgress(entry.epoch, state.now_s)
         state.fleet.progress[name] = progress
     if progress.is_acknowledged:
-        yield from _record_step(state, name, entry)
+        yield from _propose_completion(state, name, entry)
         return
     if state.now_s - progress.sent_s < RESEND_S:
         return
-    if entry.step == DRAINING and not is_fresh(state):
+    if entry.step == DRAINING and not is_inventory_fresh(state):
         return
-    if entry.step == DRAINING and _must_return(state, name, entry, progress):
-        yield from _ask_step(state, MOVE_ABORTED, name, entry)
+    if entry.step == DRAINING and _must_cancel_drain(state, name, entry, progress):
+        yield from _propose_step(state, MOVE_ABORTED, name, entry)
         return
     progress.sent_s = state.now_s
     yield _call(name, entry, progress)
 
 
-def _record_step(state: State, name: str, entry: FleetInstance) -> Iterator[object]:
+def _propose_completion(state: State, name: str, entry: FleetInstance) -> Iterator[object]:
     if entry.step == DRAINING:
-        state.fleet.setbacks.pop(name, None)
-        yield from _ask_step(state, MOVE_LEFT, name, entry)
+        state.fleet.drain_backoffs.pop(name, None)
+        yield from _propose_step(state, MOVE_LEFT, name, entry)
     else:
-        yield from _ask_step(state, MOVE_JOINED, name, entry)
+        yield from _propose_step(state, MOVE_JOINED, name, entry)
 
 
 def _call(name: str, entry: FleetInstance, progress: StepProgress) -> object:
@@ -147,22 +147,26 @@
     return JoinPool(name, entry.pool, entry.epoch)
 
 
-def _must_return(state: State, name: str, entry: FleetInstance, progress: StepProgress) -> bool:
+def _must_cancel_drain(
+    state: State, name: str, entry: FleetInstance, progress: StepProgress
+) -> bool:
     if state.now_s - progress.since_s > drain_limit_s(state, entry):
-        _note_setback(state, name)
+        _extend_backoff(state, name)
         return True
-    if entry.purpose == PURPOSE_MAINTENANCE and is_called_back(state.fold, entry.pool, entry.epoch):
+    if entry.purpose == PURPOSE_MAINTENANCE and is_round_aborted(
+        state.fold, entry.pool, entry.epoch
+    ):
         return True
     return _exceeds_budget(state, name, entry)
 
 
-def _note_setback(state: State, name: str) -> None:
-    last = state.fleet.setbacks.get(name)
+def _extend_backoff(state: State, name: str) -> None:
+    last = state.fleet.drain_backoffs.get(name)
     if last is not None and state.now_s < last.retry_at_s:
         return
-    count = 1 if last is None else last.drains + 1
-    pause_s = min(SETBACK_PAUSE_S * 2 ** (count - 1), LONGEST_PAUSE_S)
-    state.fleet.setbacks[name] = Setback(count, state.now_s + pause_s)
+    count = 1 if last is None else last.failed_drains + 1
+    pause_s = min(DRAIN_BACKOFF_S * 2 ** (count - 1), MAX_DRAIN_BACKOFF_S)
+    state.fleet.drain_backoffs[name] = DrainBackoff(count, state.now_s + pause_s)
 
 
 def _exceeds_budget(state: State, name: str, entry: FleetInstance) -> bool:
@@ -176,7 +180,7 @@
     pool = pools.get(entry.pool)
     if pool is None:
         return False
-    missing = -budget_of(state.fold, pool, down).room
+    missing = -budget_of(state.fold, pool, down).headroom
     if missing <= 0:
         return False
     instances = state.fold.pools.instances
@@ -198,13 +202,13 @@
     return left.service == right.service
 
 
-def _ask_step(state: State, kind: str, name: str, entry: FleetInstance) -> Iterator[object]:
+def _propose_step(state: State, kind: str, name: str, entry: FleetInstance) -> Iterator[object]:
     body = {
         "instance": name,
         "claim": claim_of(state, shard_of(entry.pool)),
         "booted_at_s": platform_now_s(state) if entry.step == LEFT else 0.0,
     }
-    yield from ask_record(state, kind, move_subject(name), body)
+    yield from propose_record(state, kind, move_subject(name), body)
 
 
 HANDLERS: HandlerTable = {
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_moves_fold.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_moves_fold.py
@@ -22,7 +22,7 @@
 from ._fleet_records import (
     REASON_INVALID_MOVE,
     REASON_NOT_CONTROLLER,
-    REASON_OTHER_WANTED,
+    REASON_OPERATOR_WANTS_OTHER,
     REASON_OVER_BUDGET,
     REASON_POOL_FULL,
     REASON_UNKNOWN_POOL,
@@ -30,7 +30,7 @@
     StartedBody,
     StepBody,
 )
-from ._pools import FleetInstance, FoldView, arriving, find_pool, put_in_pool
+from ._pools import FleetInstance, FoldView, count_arriving, find_pool, put_in_pool
 from ._pools_budget import may_stop
 from ._records import Record
 
@@ -44,17 +44,17 @@
     :param record: a ``move.started`` record.
     :returns: a reason to reject it, or an empty text.
     """
-    body = records.read(record, StartedBody)
-    entry = None if body is None else records.entry(fold, record, body.instance)
+    body = records.read_body(record, StartedBody)
+    entry = None if body is None else records.find_instance(fold, record, body.instance)
     if body is None or entry is None:
         return REASON_INVALID_MOVE
     if not records.holds_claim(fold, record, entry.pool, body.claim):
         return REASON_NOT_CONTROLLER
-    reason = _reason_against(fold, entry, body)
+    reason = _rejection_reason(fold, entry, body)
     if reason:
         return reason
     entry.target, entry.purpose = body.target, body.purpose
-    _advance(fold, body.instance, DRAINING, offset)
+    _set_step(fold, body.instance, DRAINING, offset)
     return ""
 
 
@@ -67,8 +67,8 @@
     :param record: a ``move.left`` record.
     :returns: a reason to reject it, or an empty text.
     """
-    body = records.read(record, StepBody)
-    entry = None if body is None else records.entry(fold, record, body.instance)
+    body = records.read_body(record, StepBody)
+    entry = None if body is None else records.find_instance(fold, record, body.instance)
     if body is None or entry is None:
         return REASON_INVALID_MOVE
     if not records.holds_claim(fold, record, entry.pool, body.claim):
@@ -76,7 +76,7 @@
     if entry.step != DRAINING:
         return REASON_WRONG_STEP
     put_in_pool(fold.pools, body.instance, entry.target)
-    _advance(fold, body.instance, LEFT, offset)
+    _set_step(fold, body.instance, LEFT, offset)
     return ""
 
 
@@ -89,8 +89,8 @@
     :param record: a ``move.joined`` record.
     :returns: a reason to reject it, or an empty text.
     """
-    body = records.read(record, StepBody)
-    entry = None if body is None else records.entry(fold, record, body.instance)
+    body = records.read_body(record, StepBody)
+    entry = None if body is None else records.find_instance(fold, record, body.instance)
     if body is None or entry is None:
         return REASON_INVALID_MOVE
     if not records.holds_claim(fold, record, entry.pool, body.claim):
@@ -102,7 +102,7 @@
         entry.booted_at_s = max(entry.booted_at_s, body.booted_at_s)
         entry.booted_offset = offset
     entry.target, entry.purpose = "", ""
-    _advance(fold, body.instance, IN_SERVICE, offset)
+    _set_step(fold, body.instance, IN_SERVICE, offset)
     return ""
 
 
@@ -115,8 +115,8 @@
     :param record: a ``move.aborted`` record.
     :returns: a reason to reject it, or an empty text.
     """
-    body = records.read(record, StepBody)
-    entry = None if body is None else records.entry(fold, record, body.instance)
+    body = records.read_body(record, StepBody)
+    entry = None if body is None else records.find_instance(fold, record, body.instance)
     if body is None or entry is None:
         return REASON_INVALID_MOVE
     if not records.holds_claim(fold, record, entry.pool, body.claim):
@@ -124,16 +124,16 @@
     if entry.step != DRAINING:
         return REASON_WRONG_STEP
     entry.target = entry.pool
-    _advance(fold, body.instance, RETURNING, offset)
+    _set_step(fold, body.instance, RETURNING, offset)
     return ""
 
 
-def _reason_against(fold: FoldView, entry: FleetInstance, body: StartedBody) -> str:
+def _rejection_reason(fold: FoldView, entry: FleetInstance, body: StartedBody) -> str:
     if entry.step != IN_SERVICE:
         return REASON_WRONG_STEP
     if entry.wanted and body.target != entry.wanted:
-        return REASON_OTHER_WANTED
-    if not records.is_way(fold, entry.pool, body.target):
+        return REASON_OPERATOR_WANTS_OTHER
+    if not records.can_move(fold, entry.pool, body.target):
         return REASON_UNKNOWN_POOL
     if body.target != entry.pool and _is_full(fold, body.target):
         return REASON_POOL_FULL
@@ -145,10 +145,10 @@
 def _is_full(fold: FoldView, name: str) -> bool:
     pool = find_pool(fold, name)
     members = len(fold.pools.members.get(name, ()))
-    return pool is None or members + arriving(fold.pools, name) >= pool.max
+    return pool is None or members + count_arriving(fold.pools, name) >= pool.max
 
 
-def _advance(fold: FoldView, instance: str, step: str, offset: int) -> None:
+def _set_step(fold: FoldView, instance: str, step: str, offset: int) -> None:
     entry = fold.pools.instances[instance]
     entry.step, entry.epoch = step, offset
     if step == IN_SERVICE:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools.py
@@ -128,12 +128,12 @@
     :param pool: ``WORKSPACE/POOL``.
     """
     entry = pools.instances[instance]
-    take_out_of_pool(pools, instance)
+    remove_from_pool(pools, instance)
     insort(pools.members.setdefault(pool, []), instance)
     entry.pool = pool
 
 
-def take_out_of_pool(pools: PoolFold, instance: str) -> None:
+def remove_from_pool(pools: PoolFold, instance: str) -> None:
     """
     Remove an instance from the members of its pool.
 
@@ -145,7 +145,7 @@
         members.remove(instance)
 
 
-def arriving(pools: PoolFold, pool: str) -> int:
+def count_arriving(pools: PoolFold, pool: str) -> int:
     """
     Count the instances that drain to come to a pool.
 
@@ -153,10 +153,10 @@
     :param pool: ``WORKSPACE/POOL``.
     :returns: instances that are not members yet.
     """
-    return sum(_is_leaving_for(pools.instances[name], pool) for name in pools.moving)
+    return sum(_is_draining_to(pools.instances[name], pool) for name in pools.moving)
 
 
-def departing(pools: PoolFold, pool: str) -> int:
+def count_departing(pools: PoolFold, pool: str) -> int:
     """
     Count the members of a pool that drain to go elsewhere.
 
@@ -170,7 +170,7 @@
     )
 
 
-def coming(pools: PoolFold, pool: str) -> int:
+def count_joining(pools: PoolFold, pool: str) -> int:
     """
     Count the members of a pool that have left another one and are not in service yet.
 
@@ -182,5 +182,5 @@
     return sum(entry.pool == pool and entry.step == LEFT for entry in moving)
 
 
-def _is_leaving_for(entry: FleetInstance, pool: str) -> bool:
+def _is_draining_to(entry: FleetInstance, pool: str) -> bool:
     return entry.step == DRAINING and entry.target == pool and entry.pool != pool
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_budget.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_budget.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from ._fleet_messages import IN_SERVICE
-from ._pools import FoldView, departing, pools_of, shard_of, shards
+from ._pools import FoldView, count_departing, pools_of, shard_of, shards
 from ._pools_config import Pool
 
 
@@ -19,18 +19,18 @@
     How many instances of a service, or of a pool without one, are up and must stay so.
 
     :param up: instances in service and not known to be down.
-    :param floor: instances that must be up.
+    :param min_up: instances that must be up.
     """
 
     up: int
-    floor: int
+    min_up: int
 
     @property
-    def room(self) -> int:
+    def headroom(self) -> int:
         """
         Instances that may stop now; negative when too few are up.
         """
-        return self.up - self.floor
+        return self.up - self.min_up
 
 
 def budget_of(fold: FoldView, pool: Pool, down: Collection[str]) -> Budget:
@@ -46,8 +46,8 @@
     if not pool.service:
         return Budget(up, 0 if pool.spare else pool.min)
     service = fold.config.services.get(pool.service)
-    floor = 0 if service is None else service.executors - service.max_unavailable
-    return Budget(up, floor)
+    min_up = 0 if service is None else service.executors - service.max_unavailable
+    return Budget(up, min_up)
 
 
 def budget_members(fold: FoldView, pool: Pool) -> list[str]:
@@ -79,12 +79,12 @@
     if target != entry.pool and not _may_shrink(fold, pool):
         return False
     # The instance itself is left out, so one that is thought to be down may be back by now.
-    return budget_of(fold, pool, {*down, instance}).room >= 0
+    return budget_of(fold, pool, {*down, instance}).headroom >= 0
 
 
 def _may_shrink(fold: FoldView, pool: Pool) -> bool:
     members = len(fold.pools.members.get(pool.name, ()))
-    return members - departing(fold.pools, pool.name) - 1 >= pool.min
+    return members - count_departing(fold.pools, pool.name) - 1 >= pool.min
 
 
 def _pools_sharing(fold: FoldView, pool: Pool) -> list[str]:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_control.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_control.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Iterator
 
-from ._controllers import ask_record, claim_of, owned_shards
+from ._controllers import claim_of, owned_shards, propose_record
 from ._events import Ticked
 from ._fleet_messages import (
     IN_SERVICE,
@@ -16,12 +16,17 @@
     move_subject,
 )
 from ._fleet_state import NEVER_S, DemandHistory
-from ._fleet_view import GONE_AFTER_S, down_instances, is_fresh, service_levels
+from ._fleet_view import (
+    REMOVE_MISSING_AFTER_S,
+    down_instances,
+    is_inventory_fresh,
+    service_load_quantiles,
+)
 from ._handlers import HandlerTable
-from ._pools import arriving, departing, find_pool, pools_of, shard_of
+from ._pools import count_arriving, count_departing, find_pool, pools_of, shard_of
 from ._pools_budget import budget_members, budget_of, may_stop
 from ._pools_config import Pool
-from ._pools_forecast import add_samples, used_parts
+from ._pools_forecast import add_samples, forecast_utilization
 from ._pools_planner import PoolNeed, Weights, plan_moves
 from ._state import State
 
@@ -34,14 +39,14 @@
     """
     Sample the demand, and plan each shard when its turn has come.
     """
-    if state.now_s - state.fleet.sampled_s >= SAMPLE_EVERY_S:
-        state.fleet.sampled_s = state.now_s
+    if state.now_s - state.fleet.demand_sampled_s >= SAMPLE_EVERY_S:
+        state.fleet.demand_sampled_s = state.now_s
         _sample_demand(state)
-    if state.stopping or not state.log.available or not is_fresh(state):
+    if state.stopping or not state.log.available or not is_inventory_fresh(state):
         return
     for shard in owned_shards(state):
-        if state.now_s - state.fleet.planned_s.get(shard, NEVER_S) >= PLAN_EVERY_S:
-            state.fleet.planned_s[shard] = state.now_s
+        if state.now_s - state.fleet.moves_planned_s.get(shard, NEVER_S) >= PLAN_EVERY_S:
+            state.fleet.moves_planned_s[shard] = state.now_s
             yield from plan_shard(state, shard)
 
 
@@ -53,16 +58,16 @@
     :param shard: name of the document.
     :returns: the effects.
     """
-    yield from _take_in(state, shard)
-    yield from _forget_gone(state, shard)
+    yield from _add_new_instances(state, shard)
+    yield from _remove_missing_instances(state, shard)
     down = down_instances(state)
-    yield from _follow_operators(state, shard, down)
+    yield from _start_requested_moves(state, shard, down)
     moves = plan_moves(needs_of(state, shard, down), weights_of(state))
-    taken: set[str] = set()
+    chosen: set[str] = set()
     for move in moves:
-        name = _choose_instance(state, move.origin, move.target, down, taken)
+        name = _choose_instance(state, move.origin, move.target, down, chosen)
         if name is not None:
-            taken.add(name)
+            chosen.add(name)
             yield from start_move(state, name, move.target, PURPOSE_MOVE, down)
 
 
@@ -89,7 +94,7 @@
         "claim": claim_of(state, shard_of(origin)),
         "down": sorted(item for item in sharing if item in down),
     }
-    yield from ask_record(state, MOVE_STARTED, move_subject(name), body)
+    yield from propose_record(state, MOVE_STARTED, move_subject(name), body)
 
 
 def needs_of(state: State, shard: str, down: frozenset[str]) -> list[PoolNeed]:
@@ -118,7 +123,7 @@
     return Weights(**{name: float(measures[name]) for name in Weights._fields})
 
 
-def is_paused(state: State, name: str) -> bool:
+def is_backing_off(state: State, name: str) -> bool:
     """
     Tell whether an instance may not be drained again yet.
 
@@ -126,16 +131,16 @@
     :param name: id of the instance.
     :returns: whether its last drains did not end and its pause lasts.
     """
-    setback = state.fleet.setbacks.get(name)
+    setback = state.fleet.drain_backoffs.get(name)
     return setback is not None and state.now_s < setback.retry_at_s
 
 
 def _need_of(state: State, pool: Pool, down: frozenset[str]) -> PoolNeed:
     fold = state.fold
     members = len(fold.pools.members.get(pool.name, ()))
-    size = members + arriving(fold.pools, pool.name) - departing(fold.pools, pool.name)
+    size = members + count_arriving(fold.pools, pool.name) - count_departing(fold.pools, pool.name)
     history = state.fleet.demand.get(pool.service)
-    room = budget_of(fold, pool, down).room
+    headroom = budget_of(fold, pool, down).headroom
     return PoolNeed(
         pool.name,
         pool.role,
@@ -144,16 +149,16 @@
         pool.max,
         pool.spare,
         size,
-        room,
-        used_parts(history, pool.target, pool.max),
+        headroom,
+        forecast_utilization(history, pool.target, pool.max),
     )
 
 
-def _take_in(state: State, shard: str) -> Iterator[object]:
+def _add_new_instances(state: State, shard: str) -> Iterator[object]:
     pools = pools_of(state.fold, shard)
     known = state.fold.pools.instances
     count = 0
-    for item in state.fleet.observation.instances.values():
+    for item in state.fleet.inventory.instances.values():
         if item.id in known or item.pool not in pools or count >= ADDED_PER_PLAN:
             continue
         count += 1
@@ -165,31 +170,31 @@
             "booted_at_s": item.booted_at_s,
             "claim": claim_of(state, shard),
         }
-        yield from ask_record(state, INSTANCE_ADDED, move_subject(item.id), body)
+        yield from propose_record(state, INSTANCE_ADDED, move_subject(item.id), body)
 
 
-def _forget_gone(state: State, shard: str) -> Iterator[object]:
-    observation = state.fleet.observation
+def _remove_missing_instances(state: State, shard: str) -> Iterator[object]:
+    inventory = state.fleet.inventory
     for name, entry in state.fold.pools.instances.items():
-        if name in observation.instances:
-            observation.gone_s.pop(name, None)
+        if name in inventory.instances:
+            inventory.missing_since_s.pop(name, None)
         elif shard_of(entry.pool) == shard:
-            gone_s = observation.gone_s.setdefault(name, state.now_s)
-            if state.now_s - gone_s >= GONE_AFTER_S:
+            missing_since_s = inventory.missing_since_s.setdefault(name, state.now_s)
+            if state.now_s - missing_since_s >= REMOVE_MISSING_AFTER_S:
                 body = {"instance": name, "claim": claim_of(state, shard)}
-                yield from ask_record(state, INSTANCE_REMOVED, move_subject(name), body)
+                yield from propose_record(state, INSTANCE_REMOVED, move_subject(name), body)
 
 
-def _follow_operators(state: State, shard: str, down: frozenset[str]) -> Iterator[object]:
+def _start_requested_moves(state: State, shard: str, down: frozenset[str]) -> Iterator[object]:
     for name, entry in state.fold.pools.instances.items():
         if not entry.wanted or entry.step != IN_SERVICE or shard_of(entry.pool) != shard:
             continue
-        if not is_paused(state, name) and may_stop(state.fold, name, entry.wanted, down):
+        if not is_backing_off(state, name) and may_stop(state.fold, name, entry.wanted, down):
             yield from start_move(state, name, entry.wanted, PURPOSE_MOVE, down)
 
 
 def _choose_instance(
-    state: State, origin: str, target: str, down: frozenset[str], taken: set[str]
+    state: State, origin: str, target: str, down: frozenset[str], chosen: set[str]
 ) -> str | None:
     """
     Choose the instance of a pool whose zone can best miss it, the longest without a reboot first.
@@ -201,8 +206,8 @@
         if pools.instances[name].step == IN_SERVICE
         and not pools.instances[name].wanted
         and name not in down
-        and name not in taken
-        and not is_paused(state, name)
+        and name not in chosen
+        and not is_backing_off(state, name)
     ]
     here = _zone_counts(state, origin)
     there = _zone_counts(state, target)
@@ -225,12 +230,12 @@
 
 def _sample_demand(state: State) -> None:
     slots = {e.service: e.slots for e in state.endpoints.endpoints.values()}
-    levels = service_levels(state)
+    quantiles = service_load_quantiles(state)
     for shard in owned_shards(state):
         for service in {pool.service for pool in pools_of(state.fold, shard).values()}:
             if service in slots:
                 history = state.fleet.demand.setdefault(service, DemandHistory())
-                units = levels.get(service, [0])
+                units = quantiles.get(service, [0])
                 add_samples(history, [unit / slots[service] for unit in units], state.now_s)
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_fold.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_fold.py
@@ -34,8 +34,8 @@
     find_pool,
     pools_of,
     put_in_pool,
+    remove_from_pool,
     shard_of,
-    take_out_of_pool,
 )
 from ._records import Record
 
@@ -49,7 +49,7 @@
     :param record: a ``controller.claimed`` record.
     :returns: a reason to reject it, or an empty text.
     """
-    body = records.read(record, ClaimBody)
+    body = records.read_body(record, ClaimBody)
     if body is None or record.subject != controller_subject(body.shard):
         return REASON_INVALID_MOVE
     holder = fold.allowances.holders.get(record.id.writer)
@@ -68,7 +68,7 @@
     :param record: an ``instance.added`` record.
     :returns: a reason to reject it, or an empty text.
     """
-    body = records.read(record, AddedBody)
+    body = records.read_body(record, AddedBody)
     if body is None or record.subject != move_subject(body.instance):
         return REASON_INVALID_MOVE
     if body.instance in fold.pools.instances:
@@ -93,13 +93,13 @@
     :param record: an ``instance.removed`` record.
     :returns: a reason to reject it, or an empty text.
     """
-    body = records.read(record, StepBody)
-    entry = None if body is None else records.entry(fold, record, body.instance)
+    body = records.read_body(record, StepBody)
+    entry = None if body is None else records.find_instance(fold, record, body.instance)
     if body is None or entry is None:
         return REASON_INVALID_MOVE
     if not records.holds_claim(fold, record, entry.pool, body.claim):
         return REASON_NOT_CONTROLLER
-    take_out_of_pool(fold.pools, body.instance)
+    remove_from_pool(fold.pools, body.instance)
     fold.pools.moving.pop(body.instance, None)
     del fold.pools.instances[body.instance]
     return ""
@@ -114,13 +114,13 @@
     :param record: a ``move.requested`` record.
     :returns: a reason to reject it, or an empty text.
     """
-    body = records.read(record, RequestedBody)
-    entry = None if body is None else records.entry(fold, record, body.instance)
+    body = records.read_body(record, RequestedBody)
+    entry = None if body is None else records.find_instance(fold, record, body.instance)
     if body is None or entry is None:
         return REASON_INVALID_MOVE
     if entry.step != IN_SERVICE:
         return REASON_WRONG_STEP
-    if body.pool and not records.is_way(fold, entry.pool, body.pool):
+    if body.pool and not records.can_move(fold, entry.pool, body.pool):
         return REASON_UNKNOWN_POOL
     entry.wanted = body.pool if body.pool != entry.pool else ""
     return ""
@@ -135,7 +135,7 @@
     :param record: an ``instance.drain_requested`` record.
     :returns: a reason to reject it, or an empty text.
     """
-    body = records.read(record, DrainBody)
+    body = records.read_body(record, DrainBody)
     entry = None if body is None else fold.pools.instances.get(body.instance)
     if body is None or entry is None or record.subject != f"instance/{body.instance}":
         return REASON_INVALID_MOVE
@@ -143,7 +143,7 @@
         return REASON_WRONG_STEP
     pools = pools_of(fold, shard_of(entry.pool)).values()
     spares = [
-        pool.name for pool in pools if pool.spare and records.is_way(fold, entry.pool, pool.name)
+        pool.name for pool in pools if pool.spare and records.can_move(fold, entry.pool, pool.name)
     ]
     if not spares:
         return REASON_NO_SPARE
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_forecast.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_forecast.py
@@ -14,46 +14,48 @@
 # Weight in seconds of the configured target, until samples outweigh it.
 PRIOR_S = 300.0
 # Larger demands count as this many instances.
-LARGEST_DEMAND = 4096
+MAX_DEMAND = 4096
 # Quantiles by which an entry instance sums up its load.
-LEVELS = 5
+QUANTILE_COUNT = 5
 
 
-def levels_of(counts: Sequence[float], samples: int) -> tuple[float, ...]:
+def quantiles_of(counts: Sequence[float], samples: int) -> tuple[float, ...]:
     """
     Sum up samples as quantiles.
 
     :param counts: the samples that were not nothing.
     :param samples: number of all samples.
-    :returns: `LEVELS` quantiles in rising order, each standing for an equal part of the time.
+    :returns: `QUANTILE_COUNT` quantiles in ascending order, each for an equal share of the time.
     """
     ordered = [0.0] * max(0, samples - len(counts)) + sorted(counts)
     if not ordered:
-        return (0.0,) * LEVELS
-    places = ((2 * number + 1) * len(ordered) // (2 * LEVELS) for number in range(LEVELS))
+        return (0.0,) * QUANTILE_COUNT
+    places = (
+        (2 * number + 1) * len(ordered) // (2 * QUANTILE_COUNT) for number in range(QUANTILE_COUNT)
+    )
     return tuple(ordered[place] for place in places)
 
 
-def add_samples(history: DemandHistory, levels: Sequence[float], now_s: float) -> None:
+def add_samples(history: DemandHistory, quantiles: Sequence[float], now_s: float) -> None:
     """
     Note the demand that held since the last samples, each level for an equal part of the time.
 
     :param history: changed in place.
-    :param levels: demand in instances, those in use and those that are missing.
+    :param quantiles: demand in instances, those in use and those that are missing.
     :param now_s: time.
     """
     since_s = 0.0 if history.updated_s == NEVER_S else now_s - history.updated_s
     history.updated_s = now_s
     factor = 0.5 ** (since_s / HALF_LIFE_S)
     history.weights = [weight * factor for weight in history.weights]
-    for instances in levels:
-        size = min(int(-(-instances // 1)), LARGEST_DEMAND)
+    for instances in quantiles:
+        size = min(int(-(-instances // 1)), MAX_DEMAND)
         missing = size + 1 - len(history.weights)
         history.weights.extend([0.0] * max(0, missing))
-        history.weights[size] += since_s / len(levels)
+        history.weights[size] += since_s / len(quantiles)
 
 
-def used_parts(history: DemandHistory | None, target: int, largest: int) -> list[float]:
+def forecast_utilization(history: DemandHistory | None, target: int, largest: int) -> list[float]:
     """
     Give the part of the time for which each instance of a pool would be used.
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_planner.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_planner.py
@@ -11,9 +11,9 @@
 from typing import NamedTuple
 
 UNSERVED_WEIGHT = 4.0
-RESERVE_WORTH = 0.05
+RESERVE_VALUE = 0.05
 PAYBACK_S = 900.0
-MOVE_S = 60.0
+MOVE_DURATION_S = 60.0
 MOVES_PER_PLAN = 4
 
 
@@ -38,8 +38,8 @@
     :param max: largest size.
     :param spare: whether its instances are only a reserve.
     :param size: members once the moves under way have ended.
-    :param room: instances that may stop now without breaking a budget.
-    :param used: part of the time for which each instance is used, for sizes up to ``max``.
+    :param headroom: instances that may stop now without breaking a budget.
+    :param utilization: part of the time for which each instance is used, for sizes up to ``max``.
     """
 
     name: str
@@ -49,8 +49,8 @@
     max: int
     spare: bool
     size: int
-    room: int
-    used: Sequence[float]
+    headroom: int
+    utilization: Sequence[float]
 
 
 class PlannedMove(NamedTuple):
@@ -71,7 +71,7 @@
     :returns: up to `MOVES_PER_PLAN` moves, the most worth first.
     """
     sizes = {need.name: need.size for need in needs}
-    rooms = {need.name: need.room for need in needs}
+    rooms = {need.name: need.headroom for need in needs}
     moves: list[PlannedMove] = []
     while len(moves) < MOVES_PER_PLAN:
         best = _best_move(needs, sizes, rooms, weights)
@@ -84,7 +84,7 @@
     return moves
 
 
-def worth(need: PoolNeed, size: int, weights: Weights) -> float:
+def marginal_value(need: PoolNeed, size: int, weights: Weights) -> float:
     """
     Give the worth of a pool's last instance at a size, in instances served.
 
@@ -97,19 +97,19 @@
         return float("inf")
     if need.spare:
         left = max(0.0, 1.0 - (size - 1) / max(1, need.target))
-        return weights.roll_out_time * RESERVE_WORTH * left
-    used = need.used[size - 1] if size <= len(need.used) else 0.0
-    return (UNSERVED_WEIGHT + weights.closeness_to_share) * used
+        return weights.roll_out_time * RESERVE_VALUE * left
+    utilization = need.utilization[size - 1] if size <= len(need.utilization) else 0.0
+    return (UNSERVED_WEIGHT + weights.closeness_to_share) * utilization
 
 
-def price_of_move(weights: Weights) -> float:
+def move_cost(weights: Weights) -> float:
     """
     Give the gain that a move must bring, in instances served.
 
     :param weights: weights of the fleet's owner.
     :returns: the price, spread over the time in which the move pays back.
     """
-    return (UNSERVED_WEIGHT + weights.buffer_cost) * MOVE_S / PAYBACK_S
+    return (UNSERVED_WEIGHT + weights.buffer_cost) * MOVE_DURATION_S / PAYBACK_S
 
 
 def _best_move(
@@ -119,11 +119,11 @@
     weights: Weights,
 ) -> PlannedMove | None:
     best: PlannedMove | None = None
-    best_gain = price_of_move(weights)
+    best_gain = move_cost(weights)
     for role in sorted({need.role for need in needs}):
         peers = [need for need in needs if need.role == role]
-        origin = _cheapest(peers, sizes, rooms, weights)
-        target = _neediest(peers, sizes, weights)
+        origin = _find_origin(peers, sizes, rooms, weights)
+        target = _find_target(peers, sizes, weights)
         if origin is None or target is None or origin[1].name == target[1].name:
             continue
         if target[0] - origin[0] > best_gain:
@@ -131,20 +131,20 @@
     return best
 
 
-def _cheapest(
+def _find_origin(
     peers: Sequence[PoolNeed],
     sizes: Mapping[str, int],
     rooms: Mapping[str, int],
     weights: Weights,
 ) -> tuple[float, PoolNeed] | None:
     able = [need for need in peers if sizes[need.name] > need.min and rooms[need.name] >= 1]
-    worths = [(worth(need, sizes[need.name], weights), need) for need in able]
+    worths = [(marginal_value(need, sizes[need.name], weights), need) for need in able]
     return min(worths, key=lambda pair: (pair[0], pair[1].name), default=None)
 
 
-def _neediest(
+def _find_target(
     peers: Sequence[PoolNeed], sizes: Mapping[str, int], weights: Weights
 ) -> tuple[float, PoolNeed] | None:
     able = [need for need in peers if sizes[need.name] < need.max]
-    worths = [(worth(need, sizes[need.name] + 1, weights), need) for need in able]
+    worths = [(marginal_value(need, sizes[need.name] + 1, weights), need) for need in able]
     return max(worths, key=lambda pair: (pair[0], pair[1].name), default=None)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_waves_planner.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_waves_planner.py
@@ -55,16 +55,16 @@
     instances: tuple[WaveInstance, ...]
 
 
-class BudgetRoom(NamedTuple):
+class WaveBudget(NamedTuple):
     """
     A budget as the planner sees it.
 
-    :param room: instances that may stop now.
+    :param headroom: instances that may stop now.
     :param under_way: instances that are out of service for moves and maintenance.
     :param zones: zones of those instances.
     """
 
-    room: int
+    headroom: int
     under_way: int
     zones: tuple[str, ...] = ()
 
@@ -79,7 +79,7 @@
     """
 
     pools: tuple[WavePool, ...]
-    budgets: dict[str, BudgetRoom]
+    budgets: dict[str, WaveBudget]
     uses_spare: bool = True
 
 
@@ -112,7 +112,7 @@
     due: int
     racks: Counter[str]
     width: int
-    room: int
+    headroom: int
     size: int
 
 
@@ -137,7 +137,7 @@
     return stops
 
 
-def steps_left(due: int, width: int) -> int:
+def waves_left(due: int, width: int) -> int:
     """
     Give the least number of steps in which a budget's instances can be maintained.
 
@@ -153,10 +153,10 @@
     for pool in view.pools:
         budget = view.budgets[pool.budget]
         due = sum(item.is_due for item in pool.instances)
-        width = max(0, budget.room) + budget.under_way
+        width = max(0, budget.headroom) + budget.under_way
         left = list(pool.instances)
         racks = Counter(item.rack for item in left if item.is_due)
-        drafts.append(_Draft(pool, left, due, racks, width, budget.room, pool.size))
+        drafts.append(_Draft(pool, left, due, racks, width, budget.headroom, pool.size))
     return drafts
 
 
@@ -164,12 +164,12 @@
     stops = []
     zones = list(view.budgets[draft.pool.budget].zones)
     sharing = [other for other in drafts if other.pool.budget == draft.pool.budget]
-    while draft.room > 0 and draft.due > 0:
+    while draft.headroom > 0 and draft.due > 0:
         chosen = _choose(draft, zones)
         _take(draft, chosen)
         zones.append(chosen.zone)
         for other in sharing:
-            other.room -= 1
+            other.headroom -= 1
         target = _better_pool(draft, drafts)
         _send(draft, target)
         stops.append(WaveStop(chosen.id, draft.pool.name, target.pool.name))
@@ -228,7 +228,7 @@
     if surplus <= 0:
         return draft
     slowest = _slowest(draft, drafts)
-    after = steps_left(draft.due, draft.width - 1)
+    after = waves_left(draft.due, draft.width - 1)
     if slowest is not None and _helps(slowest) and after < _steps(slowest):
         return slowest
     if draft.due < surplus:
@@ -252,11 +252,11 @@
 def _helps(draft: _Draft) -> bool:
     # An instance arrives one step later, so it helps only with what is left after that.
     left = draft.due - max(0, draft.width)
-    return steps_left(left, draft.width + 1) < steps_left(left, draft.width)
+    return waves_left(left, draft.width + 1) < waves_left(left, draft.width)
 
 
 def _steps(draft: _Draft) -> int:
-    return steps_left(draft.due, draft.width)
+    return waves_left(draft.due, draft.width)
 
 
 def _spare_pool(origin: _Draft, drafts: Sequence[_Draft]) -> _Draft | None:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_waves_preview.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_waves_preview.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from ._waves_planner import BudgetRoom, WaveInstance, WaveStop, WaveView, plan_wave
+from ._waves_planner import WaveBudget, WaveInstance, WaveStop, WaveView, plan_wave
 
 MAX_WAVES = 1000
 
@@ -36,11 +36,11 @@
         if not stops:
             break
         waves.append(PlannedWave(tuple(stops), _margin(view, stops)))
-        view = after_wave(view, stops)
+        view = apply_wave(view, stops)
     return waves
 
 
-def after_wave(view: WaveView, stops: list[WaveStop]) -> WaveView:
+def apply_wave(view: WaveView, stops: list[WaveStop]) -> WaveView:
     """
     Give the view once the stops of a wave have come back.
 
@@ -55,19 +55,19 @@
             if item.id in targets:
                 moved[targets[item.id]].append(item._replace(is_due=False))
     pools = []
-    rooms = {name: room.room for name, room in view.budgets.items()}
+    rooms = {name: room.headroom for name, room in view.budgets.items()}
     for pool in view.pools:
         stay = tuple(item for item in pool.instances if item.id not in targets)
         growth = len(moved[pool.name]) - (len(pool.instances) - len(stay))
         rooms[pool.budget] += growth
         instances = stay + tuple(moved[pool.name])
         pools.append(pool._replace(instances=instances, size=pool.size + growth))
-    budgets = {name: BudgetRoom(room, 0) for name, room in rooms.items()}
+    budgets = {name: WaveBudget(room, 0) for name, room in rooms.items()}
     return view._replace(pools=tuple(pools), budgets=budgets)
 
 
-def _returned(budget: BudgetRoom) -> BudgetRoom:
-    return BudgetRoom(budget.room + budget.under_way, 0)
+def _returned(budget: WaveBudget) -> WaveBudget:
+    return WaveBudget(budget.headroom + budget.under_way, 0)
 
 
 def _margin(view: WaveView, stops: list[WaveStop]) -> int:
@@ -78,5 +78,5 @@
         name = budget_of[stop.origin]
         used[name] = used.get(name, 0) + 1
     return min(
-        (view.budgets[n].room - count for n, count in used.items() if n in served), default=0
+        (view.budgets[n].headroom - count for n, count in used.items() if n in served), default=0
     )
--- a/packages/eelgrassdrum-core/tests/test_pools.py
+++ b/packages/eelgrassdrum-core/tests/test_pools.py
@@ -9,14 +9,19 @@
 from eelgrassdrum_core._fleet_state import DemandHistory
 from eelgrassdrum_core._fold import fold_record
 from eelgrassdrum_core._log_follower import APPLIERS
-from eelgrassdrum_core._pools_forecast import LEVELS, add_samples, levels_of, used_parts
+from eelgrassdrum_core._pools_forecast import (
+    QUANTILE_COUNT,
+    add_samples,
+    forecast_utilization,
+    quantiles_of,
+)
 from eelgrassdrum_core._pools_planner import PoolNeed, Weights, plan_moves
 from eelgrassdrum_core._state import Fold
 
 SIZE = {"min": 2, "target": 3, "max": 4}
 
 
-class Script(msgspec.Struct):
+class FoldedLog(msgspec.Struct):
     """
     Writes records one after the other and folds them.
     """
@@ -51,11 +56,11 @@
         return self.write(writer, kind, f"move/{instance}", instance=instance, **fields)
 
 
-def make_script() -> Script:
+def make_log() -> FoldedLog:
     """
     Give two services of three instances each and a spare pool, under controller c1.
     """
-    script = Script()
+    log = FoldedLog()
     document = {
         "name": "fleet",
         "zones": ["a"],
@@ -69,92 +74,92 @@
         + [{"name": "spare", "role": "endpoint", "size": {**SIZE, "min": 0}, "spare": True}],
     }
     body = {"name": "fleet", "document": document, "author": "op", "comment": ""}
-    assert script.write("op", "document.published", "document/fleet", **body) == ""
+    assert log.write("op", "document.published", "document/fleet", **body) == ""
     for name in ("c1", "c2"):
         lease = {"zone": "a", "sent_s": 0.0, "running": {}, "lease_s": 30.0}
-        script.write(name, "holder.renewed", f"holder/{name}", **lease)
-    assert script.write("c1", "controller.claimed", "controller/fleet", shard="fleet") == ""
+        log.write(name, "holder.renewed", f"holder/{name}", **lease)
+    assert log.write("c1", "controller.claimed", "controller/fleet", shard="fleet") == ""
     for pool in ("x", "y", "spare"):
         for number in range(3):
             place = {"zone": "a", "rack": "r", "booted_at_s": 0.0, "pool": f"fleet/{pool}"}
-            assert script.move("c1", "instance.added", f"{pool}{number}", **place) == ""
-    return script
+            assert log.move("c1", "instance.added", f"{pool}{number}", **place) == ""
+    return log
 
 
-FIXTURES = {"script": make_script}
+FIXTURES = {"log": make_log}
 
 
-def test_an_instance_changes_its_pool_once_it_has_left(script: Script) -> None:
+def test_an_instance_changes_its_pool_once_it_has_left(log: FoldedLog) -> None:
     """A move keeps an instance in its old pool until it has drained, and in the new one after."""
-    entry = script.fold.pools.instances["spare0"]
-    assert script.move("c1", "move.started", "spare0", target="fleet/x") == ""
+    entry = log.fold.pools.instances["spare0"]
+    assert log.move("c1", "move.started", "spare0", target="fleet/x") == ""
     assert (entry.pool, entry.step) == ("fleet/spare", DRAINING)
-    assert script.move("c1", "move.joined", "spare0") == "wrong_step"
-    assert script.move("c1", "move.left", "spare0") == ""
+    assert log.move("c1", "move.joined", "spare0") == "wrong_step"
+    assert log.move("c1", "move.left", "spare0") == ""
     assert (entry.pool, entry.step) == ("fleet/x", LEFT)
-    assert script.move("c1", "move.aborted", "spare0") == "wrong_step"
-    assert script.move("c1", "move.joined", "spare0") == ""
+    assert log.move("c1", "move.aborted", "spare0") == "wrong_step"
+    assert log.move("c1", "move.joined", "spare0") == ""
     assert (entry.pool, entry.step) == ("fleet/x", IN_SERVICE)
-    assert script.fold.pools.moving == {}
+    assert log.fold.pools.moving == {}
 
 
-def test_a_replaced_controller_can_not_go_on(script: Script) -> None:
+def test_a_replaced_controller_can_not_go_on(log: FoldedLog) -> None:
     """Once another controller has claimed the shard, the steps of the first are rejected."""
-    assert script.move("c1", "move.started", "spare0", target="fleet/x") == ""
-    old = script.fold.pools.claims["fleet"].offset
-    assert script.write("c2", "controller.claimed", "controller/fleet", shard="fleet") == ""
-    assert script.move("c1", "move.left", "spare0", claim=old) == "not_the_controller"
-    assert script.move("c1", "move.left", "spare0") == "not_the_controller"
-    assert script.move("c2", "move.left", "spare0") == ""
+    assert log.move("c1", "move.started", "spare0", target="fleet/x") == ""
+    old = log.fold.pools.claims["fleet"].offset
+    assert log.write("c2", "controller.claimed", "controller/fleet", shard="fleet") == ""
+    assert log.move("c1", "move.left", "spare0", claim=old) == "not_the_controller"
+    assert log.move("c1", "move.left", "spare0") == "not_the_controller"
+    assert log.move("c2", "move.left", "spare0") == ""
 
 
-def test_only_a_holder_of_a_lease_claims_a_shard(script: Script) -> None:
+def test_only_a_holder_of_a_lease_claims_a_shard(log: FoldedLog) -> None:
     """An instance that the log does not know as alive can't become a controller."""
-    reason = script.write("c9", "controller.claimed", "controller/fleet", shard="fleet")
+    reason = log.write("c9", "controller.claimed", "controller/fleet", shard="fleet")
     assert reason == "not_the_controller"
 
 
-def test_the_fold_keeps_the_budget(script: Script) -> None:
+def test_the_fold_keeps_the_budget(log: FoldedLog) -> None:
     """A second stop in a service is rejected, whoever is down, and so is one too many failures."""
-    assert script.move("c1", "move.started", "x0", target="fleet/x") == ""
-    assert script.move("c1", "move.started", "x1", target="fleet/x") == "over_budget"
+    assert log.move("c1", "move.started", "x0", target="fleet/x") == ""
+    assert log.move("c1", "move.started", "x1", target="fleet/x") == "over_budget"
     down = ["y2"]
-    assert script.move("c1", "move.started", "y1", target="fleet/y", down=down) == "over_budget"
-    assert script.move("c1", "move.started", "y2", target="fleet/y", down=down) == ""
+    assert log.move("c1", "move.started", "y1", target="fleet/y", down=down) == "over_budget"
+    assert log.move("c1", "move.started", "y2", target="fleet/y", down=down) == ""
 
 
-def test_racing_wishes_have_one_winner(script: Script) -> None:
+def test_racing_wishes_have_one_winner(log: FoldedLog) -> None:
     """Of two operators and a planner that build on one revision, the first record wins."""
-    base = script.fold.position.revisions["move/spare0"]
+    base = log.fold.position.revisions["move/spare0"]
     wish = {"instance": "spare0", "author": "op", "comment": ""}
     subject = "move/spare0"
-    assert script.write_on(base, "o1", "move.requested", subject, pool="fleet/x", **wish) == ""
-    late = script.write_on(base, "o2", "move.requested", subject, pool="fleet/y", **wish)
+    assert log.write_on(base, "o1", "move.requested", subject, pool="fleet/x", **wish) == ""
+    late = log.write_on(base, "o2", "move.requested", subject, pool="fleet/y", **wish)
     assert late == "stale"
-    planned = script.move("c1", "move.started", "spare0", target="fleet/y")
+    planned = log.move("c1", "move.started", "spare0", target="fleet/y")
     assert planned == "operator_wants_other_pool"
-    assert script.move("c1", "move.started", "spare0", target="fleet/x") == ""
+    assert log.move("c1", "move.started", "spare0", target="fleet/x") == ""
 
 
-def test_pools_keep_their_sizes(script: Script) -> None:
+def test_pools_keep_their_sizes(log: FoldedLog) -> None:
     """Moves in stop at the largest size, moves away at the budget, counting those under way."""
-    assert script.move("c1", "move.started", "x0", target="fleet/spare") == ""
-    assert script.move("c1", "move.started", "spare0", target="fleet/y") == ""
-    assert script.move("c1", "move.started", "spare1", target="fleet/y") == "pool_full"
-    assert script.move("c1", "move.left", "spare0") == ""
-    assert script.move("c1", "move.left", "x0") == ""
-    assert script.move("c1", "move.joined", "x0") == ""
-    assert script.move("c1", "move.started", "x1", target="fleet/spare") == "over_budget"
+    assert log.move("c1", "move.started", "x0", target="fleet/spare") == ""
+    assert log.move("c1", "move.started", "spare0", target="fleet/y") == ""
+    assert log.move("c1", "move.started", "spare1", target="fleet/y") == "pool_full"
+    assert log.move("c1", "move.left", "spare0") == ""
+    assert log.move("c1", "move.left", "x0") == ""
+    assert log.move("c1", "move.joined", "x0") == ""
+    assert log.move("c1", "move.started", "x1", target="fleet/spare") == "over_budget"
 
 
-def test_a_drain_request_leads_to_the_spare_pool(script: Script) -> None:
+def test_a_drain_request_leads_to_the_spare_pool(log: FoldedLog) -> None:
     """An operator's request to drain an instance lets it move to the spare pool only."""
     request = {"instance": "y0", "author": "op", "comment": ""}
-    assert script.write("op", "instance.drain_requested", "instance/y0", **request) == ""
-    assert script.fold.pools.instances["y0"].wanted == "fleet/spare"
-    other = script.move("c1", "move.started", "y0", target="fleet/y")
+    assert log.write("op", "instance.drain_requested", "instance/y0", **request) == ""
+    assert log.fold.pools.instances["y0"].wanted == "fleet/spare"
+    other = log.move("c1", "move.started", "y0", target="fleet/y")
     assert other == "operator_wants_other_pool"
-    again = script.write("op", "instance.drain_requested", "instance/y9", **request)
+    again = log.write("op", "instance.drain_requested", "instance/y9", **request)
     assert again == "invalid_move"
 
 
@@ -187,7 +192,7 @@
     history = DemandHistory()
     for second in range(6000):
         add_samples(history, (5.0 if second % 10 < 2 else 0.1,), float(second))
-    parts = used_parts(history, 1, 6)
+    parts = forecast_utilization(history, 1, 6)
     assert parts == sorted(parts, reverse=True)
     assert 0.12 < parts[4] < 0.21
     assert parts[5] < 0.01 < 0.9 < parts[0]
@@ -195,6 +200,6 @@
 
 def test_load_is_summed_up_as_quantiles() -> None:
     """A burst of a fifth of the time is the highest level, and samples without load count too."""
-    assert levels_of([], 0) == (0.0,) * LEVELS
-    assert levels_of([50, 40, 45, 55], 20) == (0.0, 0.0, 0.0, 0.0, 50)
-    assert levels_of([3] * 20, 20) == (3,) * LEVELS
+    assert quantiles_of([], 0) == (0.0,) * QUANTILE_COUNT
+    assert quantiles_of([50, 40, 45, 55], 20) == (0.0, 0.0, 0.0, 0.0, 50)
+    assert quantiles_of([3] * 20, 20) == (3,) * QUANTILE_COUNT
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_machine_adapter.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_machine_adapter.py
@@ -71,13 +71,13 @@
     """
     is_failing = False
 
-    def read(effect: messages.ReadFleet) -> None:
+    def read(effect: messages.ReadInventory) -> None:
         query = urlencode({"shards": ",".join(effect.shards), "since": effect.since})
         path = f"{base.path}/v1/machines?{query}"
         on_done = lambda outcome: on_read(effect, outcome)  # noqa: E731
         pool.submit(ClientRequest(base.address, "GET", path, READ_TIMEOUT_S, on_done))
 
-    def on_read(effect: messages.ReadFleet, outcome: HttpOutcome) -> None:
+    def on_read(effect: messages.ReadInventory, outcome: HttpOutcome) -> None:
         nonlocal is_failing
         event = parse_inventory(effect, outcome)
         if event is not None:
@@ -101,7 +101,7 @@
             post(event)
 
     return {
-        messages.ReadFleet: read,
+        messages.ReadInventory: read,
         messages.DrainInstance: lambda e: send(Call(e.instance, messages.DRAIN, e.epoch, {})),
         messages.RebootInstance: lambda e: send(Call(e.instance, messages.REBOOT, e.epoch, {})),
         messages.JoinPool: lambda e: send(
@@ -111,8 +111,8 @@
 
 
 def parse_inventory(
-    effect: messages.ReadFleet, outcome: HttpOutcome
-) -> messages.FleetObserved | None:
+    effect: messages.ReadInventory, outcome: HttpOutcome
+) -> messages.InventoryReceived | None:
     """
     Read the answer to a read of the inventory.
 
@@ -124,8 +124,8 @@
     if found is None:
         return None
     parsed = (_parse_instance(item) for item in found.instances)
-    return messages.FleetObserved(
-        effect.asked_s,
+    return messages.InventoryReceived(
+        effect.requested_s,
         found.at_s,
         found.since,
         found.version,
@@ -149,10 +149,10 @@
     return messages.StepReported(call.instance, call.action, call.epoch, found.state)
 
 
-def _parse_instance(item: Any) -> messages.ObservedInstance | None:
+def _parse_instance(item: Any) -> messages.InventoryInstance | None:
     try:
-        fields = [item[name] for name in messages.ObservedInstance._fields]
-        return msgspec.convert(fields, messages.ObservedInstance)
+        fields = [item[name] for name in messages.InventoryInstance._fields]
+        return msgspec.convert(fields, messages.InventoryInstance)
     except (msgspec.ValidationError, KeyError, TypeError):
         return None
 
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_fleet.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_fleet.py
@@ -10,8 +10,8 @@
 from eelgrassdrum_core import State
 from eelgrassdrum_core._controllers import owned_shards
 from eelgrassdrum_core._fleet_messages import IN_SERVICE, PURPOSE_MAINTENANCE
-from eelgrassdrum_core._fleet_view import down_instances, is_fresh
-from eelgrassdrum_core._maintenance import PERIOD_S, age_s, is_due, round_of, view_of
+from eelgrassdrum_core._fleet_view import down_instances, is_inventory_fresh
+from eelgrassdrum_core._maintenance import PERIOD_S, boot_age_s, is_due, round_of, view_of
 from eelgrassdrum_core._moves import stuck_instances
 from eelgrassdrum_core._pools import pools_of, shard_of, shards
 from eelgrassdrum_core._pools_config import Pool
@@ -66,7 +66,7 @@
     """
     if not pools_of(state.fold, shard):
         return None
-    has_inventory = shard in owned_shards(state) and is_fresh(state)
+    has_inventory = shard in owned_shards(state) and is_inventory_fresh(state)
     down = down_instances(state) if has_inventory else frozenset()
     instances = state.fold.pools.instances
     members = [(name, entry) for name, entry in instances.items() if shard_of(entry.pool) == shard]
@@ -77,7 +77,7 @@
         "has_inventory": has_inventory,
         "instances": len(members),
         "due": sum(is_due(state, name, entry) for name, entry in members),
-        "overdue": sum(age_s(state, name, entry) > PERIOD_S for name, entry in members),
+        "overdue": sum(boot_age_s(state, name, entry) > PERIOD_S for name, entry in members),
         "under_way": [name for name, entry in members if entry.purpose == PURPOSE_MAINTENANCE],
         "stuck": [name for name in stuck_instances(state) if name in instances],
         "view": view_of(state, shard, down),
--- a/packages/eelgrassdrum-daemon/tests/test_machine_adapter.py
+++ b/packages/eelgrassdrum-daemon/tests/test_machine_adapter.py
@@ -58,11 +58,11 @@
 def test_the_inventory_is_read_by_changes(calls: Calls) -> None:
     """A read names the version that is known, and its answer becomes an event."""
     found = {**INVENTORY, "instances": [{"id": "broken"}, INSTANCE]}
-    calls.carry_out(messages.ReadFleet(7.0, ("fleet",), 3), answer(found))
+    calls.carry_out(messages.ReadInventory(7.0, ("fleet",), 3), answer(found))
     assert calls.sent[0].path == "/v1/machines?shards=fleet&since=3"
     [event] = calls.posted
-    assert event.instances == (messages.ObservedInstance(**INSTANCE),)
-    assert (event.asked_s, event.since, event.version, event.removed) == (7.0, 3, 4, ("i2",))
+    assert event.instances == (messages.InventoryInstance(**INSTANCE),)
+    assert (event.requested_s, event.since, event.version, event.removed) == (7.0, 3, 4, ("i2",))
 
 
 def test_a_call_carries_its_epoch(calls: Calls) -> None:
@@ -78,6 +78,6 @@
     bad = (HttpFailure("timeout", True), HttpAnswer(200, {}, b"x"), answer({"state": "maybe"}))
     for outcome in bad:
         calls.carry_out(messages.DrainInstance("i1", 3), outcome)
-        calls.carry_out(messages.ReadFleet(0.0, (), 0), outcome)
+        calls.carry_out(messages.ReadInventory(0.0, (), 0), outcome)
     assert calls.posted == []
     assert len(calls.lines) == len(bad)
--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/_fleet_schedules.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/_fleet_schedules.py
@@ -8,7 +8,7 @@
 
 from eelgrassdrum_core import Sender, events
 from eelgrassdrum_core._fleet_messages import ServiceLoad, ServiceLoadReported
-from eelgrassdrum_core._pools_forecast import LEVELS
+from eelgrassdrum_core._pools_forecast import QUANTILE_COUNT
 
 from ._fleet_invariants import FINAL, check_fleet
 from ._harness import (
@@ -166,7 +166,8 @@
     services = sorted({machine.pool for machine in world.platform.machines.values()})
     busy = world.rng.choice(services)
     rows = tuple(
-        ServiceLoad(name, (BUSY_UNITS if name == busy else 1,) * LEVELS) for name in services
+        ServiceLoad(name, (BUSY_UNITS if name == busy else 1,) * QUANTILE_COUNT)
+        for name in services
     )
     for turn in range(DEMAND_TURNS):
         later(world, turn * DEMAND_EVERY_S, lambda: report_load(world, rows))
--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/_harness/_machines.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/_harness/_machines.py
@@ -52,7 +52,7 @@
     later(world, repair_s, repair)
 
 
-def read_fleet(world: World, entry: Entry, effect: messages.ReadFleet) -> None:
+def read_fleet(world: World, entry: Entry, effect: messages.ReadInventory) -> None:
     """
     Answer with the inventory as it was a moment ago, unless the zone is cut off.
 
@@ -181,9 +181,9 @@
     return PlannedStop(world.now_s, machine.id, machine.pool, dict(serving), failed)
 
 
-def _inventory(world: World) -> messages.FleetObserved:
+def _inventory(world: World) -> messages.InventoryReceived:
     seen = tuple(
-        messages.ObservedInstance(
+        messages.InventoryInstance(
             machine.id, machine.pool, machine.zone, machine.rack, machine.is_up, machine.booted_at_s
         )
         for machine in world.platform.machines.values()
@@ -191,15 +191,17 @@
     version = int(world.now_s / INVENTORY_EVERY_S) + 1
     world.platform.known.update(machine.id for machine in seen)
     removed = tuple(sorted(world.platform.known - set(world.platform.machines)))
-    return messages.FleetObserved(0.0, world.now_s, 0, version, seen, removed)
+    return messages.InventoryReceived(0.0, world.now_s, 0, version, seen, removed)
 
 
-def _changes(current: messages.FleetObserved, effect: messages.ReadFleet) -> messages.FleetObserved:
+def _changes(
+    current: messages.InventoryReceived, effect: messages.ReadInventory
+) -> messages.InventoryReceived:
     # Versions are moments here, so all that the inventory holds is given as changed.
-    return current._replace(asked_s=effect.asked_s, since=effect.since)
+    return current._replace(requested_s=effect.requested_s, since=effect.since)
 
 
-EXECUTORS[messages.ReadFleet] = read_fleet
+EXECUTORS[messages.ReadInventory] = read_fleet
 EXECUTORS[messages.DrainInstance] = drain
 EXECUTORS[messages.RebootInstance] = reboot
 EXECUTORS[messages.JoinPool] = join
--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/_harness/_platform.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/_harness/_platform.py
@@ -72,7 +72,7 @@
     """
 
     machines: dict[str, Machine] = msgspec.field(default_factory=dict)
-    inventory: list[messages.FleetObserved] = msgspec.field(default_factory=list)
+    inventory: list[messages.InventoryReceived] = msgspec.field(default_factory=list)
     known: set[str] = msgspec.field(default_factory=set)
     stops: list[PlannedStop] = msgspec.field(default_factory=list)
     cut: list[str] = msgspec.field(default_factory=list)
--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/bench/_bench_maintenance.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/bench/_bench_maintenance.py
@@ -10,7 +10,7 @@
 from eelgrassdrum_core._fleet_view import down_instances
 from eelgrassdrum_core._maintenance import PLAN_EVERY_S, maintain_shard, view_of
 from eelgrassdrum_core._maintenance_fold import Round
-from eelgrassdrum_core._waves_planner import BudgetRoom, WaveInstance, WavePool, WaveView
+from eelgrassdrum_core._waves_planner import WaveBudget, WaveInstance, WavePool, WaveView
 from eelgrassdrum_core._waves_preview import preview
 
 from .._fleet_invariants import check_fleet
@@ -37,13 +37,13 @@
     :returns: plain data.
     """
     pools = []
-    budgets = {"spare": BudgetRoom(case.spares, 0)}
+    budgets = {"spare": WaveBudget(case.spares, 0)}
     for number, due in enumerate(case.due):
         name = f"p{number}"
         instances = tuple(_instance(f"{name}-{n}", n, zones, racks) for n in range(due))
         largest = due + case.room
         pools.append(WavePool(name, "endpoint", name, False, 0, due, largest, due, instances))
-        budgets[name] = BudgetRoom(case.width[number], 0)
+        budgets[name] = WaveBudget(case.width[number], 0)
     spares = tuple(_instance(f"spare-{n}", n, zones, racks) for n in range(case.spares))
     count = case.spares
     largest = count + sum(case.due)
@@ -64,7 +64,7 @@
             if not pool.spare:
                 racks.setdefault(item.rack, Counter())[pool.budget] += 1
     return sum(
-        max(-(-count // view.budgets[name].room) for name, count in counts.items())
+        max(-(-count // view.budgets[name].headroom) for name, count in counts.items())
         for counts in racks.values()
     )
 
--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/bench/_bench_pools.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/bench/_bench_pools.py
@@ -18,12 +18,12 @@
     reduce,
 )
 from eelgrassdrum_core._config import apply_document
-from eelgrassdrum_core._fleet_messages import DRAINING, FleetObserved, ObservedInstance
+from eelgrassdrum_core._fleet_messages import DRAINING, InventoryInstance, InventoryReceived
 from eelgrassdrum_core._fleet_state import DemandHistory
 from eelgrassdrum_core._ids import RecordId
 from eelgrassdrum_core._pools import Claim, FleetInstance, put_in_pool
 from eelgrassdrum_core._pools_control import PLAN_EVERY_S, SAMPLE_EVERY_S, plan_shard
-from eelgrassdrum_core._pools_forecast import add_samples, levels_of, used_parts
+from eelgrassdrum_core._pools_forecast import add_samples, forecast_utilization, quantiles_of
 from eelgrassdrum_core._pools_planner import PlannedMove, PoolNeed, Weights, plan_moves
 from eelgrassdrum_core._records import Record
 from eelgrassdrum_core._state import State
@@ -114,7 +114,7 @@
             counts.append(demand[name])
         if now_s % SAMPLE_EVERY_S == 0:
             for name, history in histories.items():
-                add_samples(history, levels_of(samples[name], len(samples[name])), now_s)
+                add_samples(history, quantiles_of(samples[name], len(samples[name])), now_s)
                 samples[name] = []
         if now_s % PLAN_EVERY_S:
             return []
@@ -243,17 +243,17 @@
         if number < instances * MOVING_SHARE:
             state.fold.pools.moving[name] = True
             state.fold.pools.instances[name].step = DRAINING
-        seen.append(ObservedInstance(name, pool, zone, "", rng.random() > 0.01, 0.0))
+        seen.append(InventoryInstance(name, pool, zone, "", rng.random() > 0.01, 0.0))
     for number in range(pools):
         history = state.fleet.demand.setdefault(f"fleet/s{number}", DemandHistory())
         for second in range(40):
             add_samples(history, (rng.random() * 1.5 * per_pool,), second * 30.0)
-    reduce(state, 2000.0, FleetObserved(2000.0, 1.0, 0, 1, tuple(seen)))
+    reduce(state, 2000.0, InventoryReceived(2000.0, 1.0, 0, 1, tuple(seen)))
     return state
 
 
 def _plan(state: State) -> None:
-    state.fleet.asked.clear()
+    state.fleet.proposed.clear()
     for _ in plan_shard(state, "fleet"):
         pass
 
@@ -265,9 +265,9 @@
 
 def _tick(state: State) -> None:
     # As much later as a tick, so that what is worked out once for each moment is worked out anew.
-    state.fleet.planned_s["fleet"] = state.now_s + TICK_S
-    observation = state.fleet.observation
-    observation.asked_s = state.now_s
+    state.fleet.moves_planned_s["fleet"] = state.now_s + TICK_S
+    inventory = state.fleet.inventory
+    inventory.requested_s = state.now_s
     reduce(state, state.now_s + TICK_S, events.Ticked())
 
 
@@ -299,7 +299,7 @@
     if name == SPARE:
         return PoolNeed(name, "endpoint", 0, SPARE_INSTANCES, 16, True, size, size, [])
     largest = count + ROOM_ABOVE_TARGET
-    used = used_parts(history, count, largest)
+    used = forecast_utilization(history, count, largest)
     return PoolNeed(name, "endpoint", count - 1, count, largest, False, size, 1, used)
 
 
--- a/packages/eelgrassdrum-testing/tests/test_fleet_schedules.py
+++ b/packages/eelgrassdrum-testing/tests/test_fleet_schedules.py
@@ -150,7 +150,7 @@
     machine = world.platform.machines[MOVED]
     assert (machine.pool, machine.is_serving) == ("fleet/judging", True)
     entry = world.entries[reference_fold(world).pools.claims["fleet"].instance]
-    assert entry.state.fleet.setbacks[MOVED].drains == 1
+    assert entry.state.fleet.drain_backoffs[MOVED].failed_drains == 1
     assert check_fleet(world) == []
 
 
--- a/packages/eelgrassdrum-testing/tests/test_maintenance.py
+++ b/packages/eelgrassdrum-testing/tests/test_maintenance.py
@@ -9,7 +9,7 @@
 
 from eelgrassdrum_core import _maintenance, _moves, _moves_fold, _waves_planner
 from eelgrassdrum_core._waves_planner import plan_wave
-from eelgrassdrum_core._waves_preview import after_wave, preview
+from eelgrassdrum_core._waves_preview import apply_wave, preview
 from eelgrassdrum_testing import _fleet_schedules as schedules
 from eelgrassdrum_testing._fleet_invariants import FINAL, check_fleet
 from eelgrassdrum_testing._harness import (
@@ -143,7 +143,7 @@
 
 def test_the_check_of_budgets_sees_a_wave_too_wide(world: World) -> None:
     """If fold and planner of waves ignored the budgets, the check would say so."""
-    room = mock.patch.object(_maintenance, "budget_of", lambda *_: mock.Mock(room=5))
+    room = mock.patch.object(_maintenance, "budget_of", lambda *_: mock.Mock(headroom=5))
     fold = mock.patch.object(_moves_fold, "may_stop", lambda *_: True)
     never = mock.patch.object(_moves, "_exceeds_budget", lambda *_: False)
     order_maintenance(world, "start")
@@ -161,9 +161,9 @@
             budgets = {pool.name: pool.budget for pool in view.pools}
             used = Counter(budgets[stop.origin] for stop in wave.stops)
             for name, count in used.items():
-                assert name == "spare" or count <= view.budgets[name].room, case
+                assert name == "spare" or count <= view.budgets[name].headroom, case
             reached |= {stop.instance for stop in wave.stops}
-            view = after_wave(view, list(wave.stops))
+            view = apply_wave(view, list(wave.stops))
         assert len(reached) == sum(case.due) + case.spares, case
 
 
@@ -192,4 +192,4 @@
 def test_nothing_stops_without_room() -> None:
     """A budget that is used up by failures lets nothing stop."""
     assert plan_wave(make_view(Case((6,), (0,), 0, 2))) == []
-    assert _waves_planner.steps_left(6, 0) > _waves_planner.steps_left(6, 1)
+    assert _waves_planner.waves_left(6, 0) > _waves_planner.waves_left(6, 1)
