--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fleet_messages.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fleet_messages.py
@@ -17,7 +17,7 @@
 MOVE_ABORTED = "move.aborted"
 MAINTENANCE_ORDERED = "maintenance.ordered"
 
-# Steps of an instance in the fold.
+# Steps of an instance in the folded state.
 IN_SERVICE = "in_service"
 DRAINING = "draining"
 LEFT = "left"
@@ -26,7 +26,7 @@
 PURPOSE_MOVE = "move"
 PURPOSE_MAINTENANCE = "maintenance"
 
-# What the platform is asked to do with an instance.
+# Actions that the platform is requested to perform on an instance.
 DRAIN = "drain"
 REBOOT = "reboot"
 JOIN = "join"
@@ -39,14 +39,14 @@
 
 class InventoryInstance(NamedTuple):
     """
-    One instance as the platform's inventory shows it.
+    One instance in the platform's inventory.
 
     :param id: id of the instance.
     :param pool: ``WORKSPACE/POOL`` that it was last configured for.
     :param zone: availability zone.
     :param rack: failure domain in the zone.
-    :param is_up: whether it answers health checks, in service or not.
-    :param booted_at_s: platform's time of its last boot.
+    :param is_up: whether it passes health checks, even when it is not in service.
+    :param booted_at_s: time of its last boot, on the platform's clock.
     """
 
     id: str
@@ -59,13 +59,13 @@
 
 class InventoryReceived(NamedTuple):
     """
-    The platform's inventory was read.
+    The platform returned its inventory.
 
-    :param requested_s: own time at which the read was asked for.
-    :param at_s: the platform's time.
-    :param since: version that the answer builds on, 0 for a whole inventory.
-    :param version: version of the inventory after it.
-    :param instances: the instances that have changed since.
+    :param requested_s: local time of the request.
+    :param at_s: time of the inventory, on the platform's clock.
+    :param since: version that the changes build on, 0 for the complete inventory.
+    :param version: version of the inventory with these changes.
+    :param instances: the instances that have changed since that version.
     :param removed: ids of instances that the platform no longer has.
     """
 
@@ -79,12 +79,12 @@
 
 class StepReported(NamedTuple):
     """
-    The platform answered what it was asked to do with an instance.
+    The platform responded to a requested action on an instance.
 
     :param instance: id of the instance.
     :param action: ``drain``, ``reboot`` or ``join``.
-    :param epoch: the epoch of the call.
-    :param state: ``done``, ``pending``, ``refused`` (a newer epoch was seen) or ``failed``.
+    :param epoch: epoch of the request.
+    :param state: ``done``, ``pending``, ``refused`` (it knows a newer epoch) or ``failed``.
     """
 
     instance: str
@@ -95,11 +95,11 @@
 
 class ReadInventory(NamedTuple):
     """
-    Read what has changed in the platform's inventory of instances.
+    Read the changes of the platform's inventory of instances.
 
-    :param requested_s: own time, which comes back with the answer.
-    :param shards: documents whose pools' instances are wanted.
-    :param since: version that is known, 0 for none.
+    :param requested_s: local time, which is returned with the response.
+    :param shards: documents whose instances are requested.
+    :param since: last known version, 0 for none.
     """
 
     requested_s: float
@@ -109,10 +109,10 @@
 
 class DrainInstance(NamedTuple):
     """
-    Let an instance take no new work and finish what runs; a repeat asks how far it is.
+    Stop new work on an instance and let running work finish; a repeat returns the progress.
 
     :param instance: id of the instance.
-    :param epoch: offset of the step's record; the platform refuses older ones.
+    :param epoch: offset of the step's record, a fencing token; the platform refuses older ones.
     """
 
     instance: str
@@ -121,10 +121,10 @@
 
 class RebootInstance(NamedTuple):
     """
-    Reboot a drained instance, at most once for each epoch; a repeat asks how far it is.
+    Reboot a drained instance, at most once per epoch; a repeat returns the progress.
 
     :param instance: id of the instance.
-    :param epoch: offset of the step's record.
+    :param epoch: offset of the step's record, a fencing token.
     """
 
     instance: str
@@ -133,11 +133,11 @@
 
 class JoinPool(NamedTuple):
     """
-    Let an instance take work for a pool; a repeat changes nothing.
+    Put an instance into service in a pool; the call is idempotent.
 
     :param instance: id of the instance.
     :param pool: ``WORKSPACE/POOL``.
-    :param epoch: offset of the step's record.
+    :param epoch: offset of the step's record, a fencing token.
     """
 
     instance: str
@@ -147,10 +147,10 @@
 
 class ServiceLoad(NamedTuple):
     """
-    Requests of one service at one entry instance, over the time since its last report.
+    Load of one service at one entry instance since its last report.
 
     :param service: ``WORKSPACE/SERVICE``.
-    :param quantiles: requests that ran or waited, as quantiles in rising order.
+    :param quantiles: number of running and queued requests, as quantiles in ascending order.
     """
 
     service: str
@@ -160,9 +160,9 @@
 @register_message
 class ServiceLoadReported(NamedTuple):
     """
-    An entry instance tells the controller of a shard what it could use.
+    An entry instance reports its load to the controller of a shard.
 
-    :param rows: one per service with requests.
+    :param rows: one row per service with requests.
     """
 
     rows: tuple[ServiceLoad, ...]
@@ -170,7 +170,7 @@
 
 def move_subject(instance: str) -> str:
     """
-    Give the subject of an instance's moves.
+    Return the subject of records about an instance's moves.
 
     :param instance: id of the instance.
     :returns: the subject.
@@ -180,9 +180,9 @@
 
 def controller_subject(shard: str) -> str:
     """
-    Give the subject of a shard's controller.
+    Return the subject of records about a shard's controller.
 
-    :param shard: name of the document whose pools it holds.
+    :param shard: name of the document that defines the pools.
     :returns: the subject.
     """
     return f"controller/{shard}"
@@ -190,7 +190,7 @@
 
 def maintenance_subject(shard: str) -> str:
     """
-    Give the subject of a shard's maintenance round.
+    Return the subject of records about a shard's maintenance round.
 
     :param shard: name of the document.
     :returns: the subject.
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fleet_records.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fleet_records.py
@@ -1,5 +1,5 @@
 """
-Bodies of the records of pools and moves, and why such a record may be rejected.
+Bodies of records about pools and moves, the reasons for rejecting them and shared checks.
 """
 
 from typing import TypeVar
@@ -39,7 +39,7 @@
     """
     The body of a ``move.started`` record.
 
-    :param down: instances of the shard that the controller finds down or unseen.
+    :param down: ids of instances sharing the budget that are down or missing from the inventory.
     """
 
     instance: str
@@ -51,7 +51,10 @@
 
 class StepBody(msgspec.Struct):
     """
-    The body of a later step's record.
+    The body of a record of a later step of a move, and of an ``instance.removed`` record.
+
+    :param claim: offset of the controller's claim.
+    :param booted_at_s: time of the reboot on the platform's clock, 0 without a reboot.
     """
 
     instance: str
@@ -61,7 +64,7 @@
 
 class RequestedBody(msgspec.Struct):
     """
-    The body of an operator's ``move.requested`` record; an empty pool takes the wish back.
+    The body of an operator's ``move.requested`` record; an empty pool withdraws the request.
     """
 
     instance: str
@@ -88,10 +91,10 @@
 
 def read_body(record: Record, body_type: type[T]) -> T | None:
     """
-    Read a record's body.
+    Decode the body of a record.
 
     :param record: the record.
-    :param body_type: what its body should be.
+    :param body_type: expected type of the body.
     :returns: the body, or ``None`` when it is malformed.
     """
     try:
@@ -102,7 +105,7 @@
 
 def find_instance(fold: FoldView, record: Record, instance: str) -> FleetInstance | None:
     """
-    Find the instance that a record of moves is about.
+    Return the instance that a record about moves refers to.
 
     :param fold: the folded state.
     :param record: the record.
@@ -116,13 +119,13 @@
 
 def holds_claim(fold: FoldView, record: Record, pool: str, claim: int) -> bool:
     """
-    Tell whether a record comes from the controller of now.
+    Return whether the current controller of a shard has written a record.
 
     :param fold: the folded state.
     :param record: the record.
-    :param pool: pool whose shard must be controlled.
-    :param claim: the claim that the record names.
-    :returns: whether the claim stands and is its writer's.
+    :param pool: a pool of the shard.
+    :param claim: offset of the claim that the record states.
+    :returns: whether this claim is the current one and belongs to the writer.
     """
     current = fold.pools.claims.get(shard_of(pool))
     return current == Claim(record.id.writer, record.id.incarnation, claim)
@@ -130,12 +133,13 @@
 
 def can_move(fold: FoldView, origin: str, target: str) -> bool:
     """
-    Tell whether an instance may ever move from one pool to another.
+    Return whether moves from one pool to another are allowed at all.
 
     :param fold: the folded state.
-    :param origin: the pool that it is in.
-    :param target: the pool that it would go to.
-    :returns: whether both stand in one document and have one role.
+    :param origin: current pool.
+    :param target: destination pool.
+    :returns: whether the target is the origin, or is defined by the same document and has the same
+        role; an origin that is no longer defined matches any role.
     """
     pools = pools_of(fold, shard_of(origin))
     if target == origin:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools.py
@@ -1,5 +1,5 @@
 """
-Pools as configured, and who is in them as decided by the log.
+Configured pools, their member instances and their controllers, folded from the log.
 """
 
 from bisect import insort
@@ -15,16 +15,17 @@
 
 class FleetInstance(msgspec.Struct):
     """
-    One instance of the fold.
+    Folded state of one instance.
 
-    :param pool: the one pool that it belongs to.
+    :param pool: the pool that it is a member of.
     :param step: ``in_service``, ``draining``, ``left`` or ``returning``.
-    :param epoch: offset of the record that brought it to this step.
-    :param target: pool that a move leads to, or empty.
-    :param wanted: pool that an operator wants it in, or empty.
-    :param purpose: ``move`` or ``maintenance`` while a move is under way.
-    :param booted_at_s: platform's time of its last recorded boot.
-    :param booted_offset: record after which it was in service again, 0 before any reboot.
+    :param epoch: offset of the record that set this step.
+    :param target: destination pool of the current move, or empty.
+    :param wanted: destination pool that an operator has requested, or empty.
+    :param purpose: ``move`` or ``maintenance`` during a move, otherwise empty.
+    :param booted_at_s: time of its last recorded boot, on the platform's clock.
+    :param booted_offset: offset of the record that put it back in service after its last reboot,
+        0 before any reboot.
     """
 
     pool: str
@@ -41,11 +42,11 @@
 
 class Claim(NamedTuple):
     """
-    Who controls a shard.
+    The controller of a shard.
 
-    :param instance: the entry instance.
-    :param incarnation: its incarnation.
-    :param offset: record of the claim, which fences earlier ones.
+    :param instance: id of the entry instance.
+    :param incarnation: incarnation of the entry instance.
+    :param offset: offset of the claim record, the fencing token against earlier claims.
     """
 
     instance: str
@@ -55,10 +56,12 @@
 
 class PoolFold(msgspec.Struct):
     """
-    Instances, their pools, and controllers as decided by the log.
+    Instances, pool membership and shard controllers, folded from the log.
 
-    :param members: ids of a pool's instances, sorted.
+    :param instances: instances by id.
+    :param members: sorted ids of the member instances, by pool.
     :param moving: ids of instances that are not in service.
+    :param claims: current controllers by shard.
     """
 
     instances: dict[str, FleetInstance] = msgspec.field(default_factory=dict)
@@ -69,7 +72,7 @@
 
 class FoldView(Protocol):
     """
-    The part of the folded state that pools depend on.
+    The part of the folded state that code for pools reads.
     """
 
     config: ConfigFold
@@ -79,51 +82,51 @@
 
 def shard_of(pool: str) -> str:
     """
-    Give the shard that controls a pool: the document that the pool stands in.
+    Return the shard of a pool, which is the document that defines the pool.
 
     :param pool: ``WORKSPACE/POOL``.
-    :returns: the document's name.
+    :returns: name of the document.
     """
     return pool.partition("/")[0]
 
 
 def pools_of(fold: FoldView, shard: str) -> dict[str, Pool]:
     """
-    Give the pools of a document in force.
+    Return the pools of the current revision of a document.
 
     :param fold: the folded state.
     :param shard: name of the document.
-    :returns: pools by full name.
+    :returns: pools by ``WORKSPACE/POOL``.
     """
     return fold.config.pools.get(shard, {})
 
 
 def find_pool(fold: FoldView, name: str) -> Pool | None:
     """
-    Find a pool by its full name.
+    Return a pool by its full name.
 
     :param fold: the folded state.
     :param name: ``WORKSPACE/POOL``.
-    :returns: the pool, or ``None`` when no document has it.
+    :returns: the pool, or ``None`` when no document defines it.
     """
     return pools_of(fold, shard_of(name)).get(name)
 
 
 def shards(fold: FoldView) -> list[str]:
     """
-    Give the documents that have pools.
+    Return the shards, which are the documents that define pools.
 
     :param fold: the folded state.
-    :returns: their names, sorted.
+    :returns: sorted names of the documents.
     """
     return [name for name, pools in sorted(fold.config.pools.items()) if pools]
 
 
 def put_in_pool(pools: PoolFold, instance: str, pool: str) -> None:
     """
-    Make an instance a member of a pool, and of no other.
+    Make an instance a member of a pool and remove it from its previous pool.
 
-    :param pools: changed in place.
+    :param pools: the folded pools, modified in place.
     :param instance: id of the instance.
     :param pool: ``WORKSPACE/POOL``.
     """
@@ -137,7 +140,7 @@
     """
     Remove an instance from the members of its pool.
 
-    :param pools: changed in place.
+    :param pools: the folded pools, modified in place.
     :param instance: id of the instance.
     """
     members = pools.members.get(pools.instances[instance].pool, [])
@@ -147,22 +150,22 @@
 
 def count_arriving(pools: PoolFold, pool: str) -> int:
     """
-    Count the instances that drain to come to a pool.
+    Count the instances that are draining in order to move to a pool.
 
     :param pools: the folded pools.
     :param pool: ``WORKSPACE/POOL``.
-    :returns: instances that are not members yet.
+    :returns: number of instances, none of which is a member yet.
     """
     return sum(_is_draining_to(pools.instances[name], pool) for name in pools.moving)
 
 
 def count_departing(pools: PoolFold, pool: str) -> int:
     """
-    Count the members of a pool that drain to go elsewhere.
+    Count the members of a pool that are draining in order to move to another pool.
 
     :param pools: the folded pools.
     :param pool: ``WORKSPACE/POOL``.
-    :returns: instances that are members still.
+    :returns: number of instances, all of which are still members.
     """
     moving = (pools.instances[name] for name in pools.moving)
     return sum(
@@ -172,11 +175,11 @@
 
 def count_joining(pools: PoolFold, pool: str) -> int:
     """
-    Count the members of a pool that have left another one and are not in service yet.
+    Count the members of a pool that have finished draining and are not in service yet.
 
     :param pools: the folded pools.
     :param pool: ``WORKSPACE/POOL``.
-    :returns: instances that are members already.
+    :returns: number of instances, all of which are already members.
     """
     moving = (pools.instances[name] for name in pools.moving)
     return sum(entry.pool == pool and entry.step == LEFT for entry in moving)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_budget.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_budget.py
@@ -1,9 +1,9 @@
 """
-Availability budgets: whether one more instance may stop.
+Availability budgets, which decide whether one more instance may be taken out of service.
 
-An instance counts as up only when it is in service in the fold and nobody has found it down or
-unseen. The fold asks the same question again when it takes the record, so that two requests that
-raced can't spend the same room.
+An instance counts as up only when it is in service in the folded state and isn't reported as down
+or missing from the inventory. The check is repeated when the record is folded, so that two
+concurrent requests can't use the same headroom.
 """
 
 from collections.abc import Collection, Iterable
@@ -16,10 +16,10 @@
 
 class Budget(NamedTuple):
     """
-    How many instances of a service, or of a pool without one, are up and must stay so.
+    Availability budget of a service, or of a pool without a service.
 
-    :param up: instances in service and not known to be down.
-    :param min_up: instances that must be up.
+    :param up: number of instances that are in service and not known to be down.
+    :param min_up: number of instances that must be up.
     """
 
     up: int
@@ -28,18 +28,18 @@
     @property
     def headroom(self) -> int:
         """
-        Instances that may stop now; negative when too few are up.
+        Number of instances that may stop now, negative when too few are up.
         """
         return self.up - self.min_up
 
 
 def budget_of(fold: FoldView, pool: Pool, down: Collection[str]) -> Budget:
     """
-    Give the budget that a pool's instances draw on.
+    Return the availability budget that applies to the instances of a pool.
 
     :param fold: the folded state.
     :param pool: the pool.
-    :param down: ids of instances found down or unseen.
+    :param down: ids of instances that are down or missing from the inventory.
     :returns: the budget.
     """
     up = _count_up(fold, _pools_sharing(fold, pool), down)
@@ -52,11 +52,12 @@
 
 def budget_members(fold: FoldView, pool: Pool) -> list[str]:
     """
-    Give the instances that draw on the same budget as a pool's.
+    Return the instances that share the availability budget of a pool.
 
     :param fold: the folded state.
     :param pool: the pool.
-    :returns: ids of the members of all pools of its service, or its own without a service.
+    :returns: ids of the members of all pools of its service, or only of this pool when it has no
+        service.
     """
     members = fold.pools.members
     return [name for other in _pools_sharing(fold, pool) for name in members.get(other, ())]
@@ -64,13 +65,13 @@
 
 def may_stop(fold: FoldView, instance: str, target: str, down: Collection[str]) -> bool:
     """
-    Tell whether an instance may drain without breaking a budget or a pool's least size.
+    Return whether an instance may drain without violating its budget or its pool's minimum size.
 
     :param fold: the folded state.
     :param instance: id of the instance.
-    :param target: pool that it goes to; its own for maintenance.
-    :param down: ids of instances found down or unseen.
-    :returns: whether it may.
+    :param target: destination pool, its current pool for maintenance.
+    :param down: ids of instances that are down or missing from the inventory.
+    :returns: whether the instance may drain.
     """
     entry = fold.pools.instances[instance]
     pool = pools_of(fold, shard_of(entry.pool)).get(entry.pool)
@@ -78,7 +79,7 @@
         return True
     if target != entry.pool and not _may_shrink(fold, pool):
         return False
-    # The instance itself is left out, so one that is thought to be down may be back by now.
+    # Counts the instance as down in any case: one that was reported as down may be up again by now.
     return budget_of(fold, pool, {*down, instance}).headroom >= 0
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_config.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_config.py
@@ -1,5 +1,5 @@
 """
-Pools as a document configures them.
+Parsing of pools from a configuration document.
 """
 
 from typing import Any, NamedTuple
@@ -12,10 +12,10 @@
     :param name: ``WORKSPACE/POOL``.
     :param role: ``endpoint`` or ``worker``.
     :param service: ``WORKSPACE/SERVICE``, or empty.
-    :param min: instances that moves away must leave.
-    :param target: instances that it should have.
-    :param max: instances that moves may bring it to.
-    :param spare: whether its instances wait for use elsewhere.
+    :param min: smallest size that moves to other pools may leave.
+    :param target: desired size.
+    :param max: largest size that moves into the pool may reach.
+    :param spare: whether its instances are a reserve for other pools.
     """
 
     name: str
@@ -29,11 +29,11 @@
 
 def read_pools(document_name: str, document: dict[str, Any]) -> dict[str, Pool]:
     """
-    Read the pools of a document.
+    Parse the pools of a document.
 
-    :param document_name: the document's name, to which the names of its pools belong.
+    :param document_name: name of the document, which prefixes the names of its pools.
     :param document: the rendered document.
-    :returns: pools by full name.
+    :returns: pools by ``WORKSPACE/POOL``.
     """
     pools = [_read_pool(document_name, item) for item in document.get("pools", [])]
     return {pool.name: pool for pool in pools}
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_control.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_control.py
@@ -1,6 +1,6 @@
 """
-Plans the shards that are controlled here: takes new instances in, follows operators' wishes, and
-starts the moves that pay.
+Planning of the shards that this instance controls: adds new instances, removes missing ones, starts
+the moves that operators have requested and those that the planner chooses.
 """
 
 from collections.abc import Iterator
@@ -37,7 +37,7 @@
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Sample the demand, and plan each shard when its turn has come.
+    Sample the demand, and plan each controlled shard at its interval.
     """
     if state.now_s - state.fleet.demand_sampled_s >= SAMPLE_EVERY_S:
         state.fleet.demand_sampled_s = state.now_s
@@ -52,9 +52,9 @@
 
 def plan_shard(state: State, shard: str) -> Iterator[object]:
     """
-    Ask for the records that a shard needs now.
+    Propose the records that a shard needs now.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param shard: name of the document.
     :returns: the effects.
     """
@@ -75,13 +75,13 @@
     state: State, name: str, target: str, purpose: str, down: frozenset[str]
 ) -> Iterator[object]:
     """
-    Ask for the record that lets an instance drain.
+    Propose the record that starts to drain an instance.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param name: id of the instance.
-    :param target: pool that it goes to.
+    :param target: destination pool.
     :param purpose: ``move`` or ``maintenance``.
-    :param down: instances that are down or unseen.
+    :param down: ids of instances that are down or missing from the inventory.
     :returns: the effects.
     """
     origin = state.fold.pools.instances[name].pool
@@ -99,11 +99,11 @@
 
 def needs_of(state: State, shard: str, down: frozenset[str]) -> list[PoolNeed]:
     """
-    Describe a shard's pools for the planner.
+    Build the input of the planner for the pools of a shard.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param shard: name of the document.
-    :param down: instances that are down or unseen.
+    :param down: ids of instances that are down or missing from the inventory.
     :returns: one need per pool.
     """
     return [_need_of(state, pool, down) for pool in pools_of(state.fold, shard).values()]
@@ -111,10 +111,10 @@
 
 def weights_of(state: State) -> Weights:
     """
-    Give the weights of the fleet's document.
+    Return the weights that the ``fleet`` document configures.
 
-    :param state: the state.
-    :returns: the weights, all 1 without a document.
+    :param state: state of this entry instance.
+    :returns: the weights, all 1 without this document.
     """
     revisions = state.fold.config.documents.get("fleet")
     if not revisions:
@@ -125,11 +125,11 @@
 
 def is_backing_off(state: State, name: str) -> bool:
     """
-    Tell whether an instance may not be drained again yet.
+    Return whether an instance must not be drained again yet.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param name: id of the instance.
-    :returns: whether its last drains did not end and its pause lasts.
+    :returns: whether its last drains timed out and its backoff has not elapsed.
     """
     setback = state.fleet.drain_backoffs.get(name)
     return setback is not None and state.now_s < setback.retry_at_s
@@ -197,10 +197,10 @@
     state: State, origin: str, target: str, down: frozenset[str], chosen: set[str]
 ) -> str | None:
     """
-    Choose the instance of a pool whose zone can best miss it, the longest without a reboot first.
+    Choose the instance whose move balances the zones of both pools best, the oldest boot first.
     """
     pools = state.fold.pools
-    able = [
+    candidates = [
         name
         for name in pools.members.get(origin, ())
         if pools.instances[name].step == IN_SERVICE
@@ -209,15 +209,15 @@
         and name not in chosen
         and not is_backing_off(state, name)
     ]
-    here = _zone_counts(state, origin)
-    there = _zone_counts(state, target)
+    origin_zones = _zone_counts(state, origin)
+    target_zones = _zone_counts(state, target)
 
     def order(name: str) -> tuple[int, float, str]:
         entry = pools.instances[name]
-        balance = there.get(entry.zone, 0) - here[entry.zone]
+        balance = target_zones.get(entry.zone, 0) - origin_zones[entry.zone]
         return balance, entry.booted_at_s, name
 
-    return min(able, key=order, default=None)
+    return min(candidates, key=order, default=None)
 
 
 def _zone_counts(state: State, pool: str) -> dict[str, int]:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_fold.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_fold.py
@@ -1,5 +1,5 @@
 """
-What records of controllers, instances and operators' wishes mean.
+Applies records of shard controllers, of instances and of operators' requests to the folded state.
 """
 
 from collections.abc import Callable
@@ -42,12 +42,12 @@
 
 def apply_claim(fold: FoldView, offset: int, record: Record) -> str:
     """
-    Give a shard to a controller.
+    Make the writer of the record the controller of a shard.
 
-    :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param fold: the folded state, modified in place.
+    :param offset: offset of the record in the log.
     :param record: a ``controller.claimed`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason for rejecting the record, or an empty string.
     """
     body = records.read_body(record, ClaimBody)
     if body is None or record.subject != controller_subject(body.shard):
@@ -61,12 +61,12 @@
 
 def apply_added(fold: FoldView, offset: int, record: Record) -> str:
     """
-    Take a new instance into a pool.
+    Add a new instance to a pool.
 
-    :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param fold: the folded state, modified in place.
+    :param offset: offset of the record in the log.
     :param record: an ``instance.added`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason for rejecting the record, or an empty string.
     """
     body = records.read_body(record, AddedBody)
     if body is None or record.subject != move_subject(body.instance):
@@ -86,12 +86,12 @@
 
 def apply_removed(fold: FoldView, offset: int, record: Record) -> str:
     """
-    Forget an instance that the platform no longer has.
+    Remove an instance that the platform no longer has.
 
-    :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param fold: the folded state, modified in place.
+    :param offset: offset of the record in the log.
     :param record: an ``instance.removed`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason for rejecting the record, or an empty string.
     """
     body = records.read_body(record, StepBody)
     entry = None if body is None else records.find_instance(fold, record, body.instance)
@@ -107,12 +107,12 @@
 
 def apply_requested(fold: FoldView, offset: int, record: Record) -> str:
     """
-    Note the pool that an operator wants an instance in; its controller starts the move.
+    Record the destination pool that an operator requests; the controller then starts the move.
 
-    :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param fold: the folded state, modified in place.
+    :param offset: offset of the record in the log.
     :param record: a ``move.requested`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason for rejecting the record, or an empty string.
     """
     body = records.read_body(record, RequestedBody)
     entry = None if body is None else records.find_instance(fold, record, body.instance)
@@ -128,12 +128,12 @@
 
 def apply_drain_request(fold: FoldView, offset: int, record: Record) -> str:
     """
-    Note that an operator wants an instance in the spare pool.
+    Record the request of an operator to move an instance to the spare pool.
 
-    :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param fold: the folded state, modified in place.
+    :param offset: offset of the record in the log.
     :param record: an ``instance.drain_requested`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason for rejecting the record, or an empty string.
     """
     body = records.read_body(record, DrainBody)
     entry = None if body is None else fold.pools.instances.get(body.instance)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_waves_planner.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_waves_planner.py
@@ -1,9 +1,10 @@
 """
-Chooses the next stops of a maintenance round: a pure function on plain data.
+Planner that chooses the next stops of a maintenance round, a pure function on plain data.
 
-Each budget is used up at once, so the round takes as many steps as the slowest budget needs. Spare
-instances, and instances that a pool holds beyond its target, are sent where most steps are left:
-a move reboots an instance too, so it counts as its maintenance.
+Each wave uses the whole headroom of every budget, so the round takes as many waves as the slowest
+budget needs. Spare instances, and instances of a pool above its target size, move to the pools with
+the most waves left, where they raise the budget. A move also reboots the instance, so it counts as
+the maintenance of this instance.
 """
 
 from collections import Counter
@@ -15,12 +16,12 @@
 
 class WaveInstance(NamedTuple):
     """
-    An instance that may stop.
+    An instance that may be stopped.
 
     :param id: id of the instance.
     :param zone: availability zone.
     :param rack: failure domain in the zone.
-    :param is_due: whether it is to be maintained; a spare one may be used although it is not.
+    :param is_due: whether it is due for maintenance; a spare instance may be moved even if not due.
     """
 
     id: str
@@ -31,17 +32,17 @@
 
 class WavePool(NamedTuple):
     """
-    A pool as the planner sees it.
+    Input of the planner for one pool.
 
     :param name: ``WORKSPACE/POOL``.
-    :param role: instances move only between pools of one role.
-    :param budget: what its stops draw on: its service, or itself.
-    :param spare: whether its instances wait for use elsewhere.
-    :param min: least size.
-    :param target: size that the configuration asks for.
-    :param max: largest size.
-    :param size: members once the moves under way have ended.
-    :param instances: members in service that may stop, the oldest boot first.
+    :param role: ``endpoint`` or ``worker``; instances move only between pools of the same role.
+    :param budget: name of the budget that applies: the service, or the pool without a service.
+    :param spare: whether its instances are a reserve for other pools.
+    :param min: minimum size.
+    :param target: configured size.
+    :param max: maximum size.
+    :param size: number of members after the moves under way have completed.
+    :param instances: members in service that may be stopped, the oldest boot first.
     """
 
     name: str
@@ -57,11 +58,11 @@
 
 class WaveBudget(NamedTuple):
     """
-    A budget as the planner sees it.
+    Input of the planner for one availability budget.
 
-    :param headroom: instances that may stop now.
-    :param under_way: instances that are out of service for moves and maintenance.
-    :param zones: zones of those instances.
+    :param headroom: number of instances that may stop now.
+    :param under_way: number of instances out of service for moves and maintenance.
+    :param zones: availability zones of the latter.
     """
 
     headroom: int
@@ -71,11 +72,11 @@
 
 class WaveView(NamedTuple):
     """
-    All that the planner looks at.
+    Input of the planner.
 
     :param pools: the pools of one document.
     :param budgets: budgets by name.
-    :param uses_spare: whether spare instances may be used to be done sooner.
+    :param uses_spare: whether spare instances may move to shorten the round.
     """
 
     pools: tuple[WavePool, ...]
@@ -85,11 +86,11 @@
 
 class WaveStop(NamedTuple):
     """
-    One instance is to stop and come back in a pool.
+    A planned stop of one instance, which then returns to service in a pool.
 
     :param instance: id of the instance.
-    :param origin: its pool.
-    :param target: the pool that it comes to, its own or another.
+    :param origin: pool that it leaves.
+    :param target: pool that it joins, the same or another.
     """
 
     instance: str
@@ -97,172 +98,184 @@
     target: str
 
 
-class _Draft(msgspec.Struct):
+class _PoolPlan(msgspec.Struct):
     """
-    A pool while a wave is planned.
-
-    :param left: instances that may still be chosen.
-    :param due: how many of them are due.
-    :param racks: how many of them are due in each rack.
-    :param width: instances that may be out of service at the same time.
+    Mutable state of one pool while a wave is planned.
+
+    :param candidates: instances that may still be chosen.
+    :param due: number of candidates that are due.
+    :param racks: number of candidates that are due, by rack.
+    :param max_parallel: number of instances that may be out of service at the same time.
+    :param headroom: number of instances that may still stop in this wave.
+    :param size: number of members after the planned moves.
     """
 
     pool: WavePool
-    left: list[WaveInstance]
+    candidates: list[WaveInstance]
     due: int
     racks: Counter[str]
-    width: int
+    max_parallel: int
     headroom: int
     size: int
 
 
 def plan_wave(view: WaveView, limit: int | None = None) -> list[WaveStop]:
     """
-    Choose the instances that stop now, from the slowest budgets first.
+    Choose the instances that stop now, starting with the slowest budgets.
 
     :param view: the pools and budgets.
-    :param limit: number of stops after which no further pool is looked at, or ``None``.
-    :returns: the stops, each within the budgets when taken in this order.
+    :param limit: number of stops after which no further pool is planned, or ``None``.
+    :returns: the stops, which respect the budgets when they are started in this order.
     """
-    drafts = _make_drafts(view)
+    plans = _build_plans(view)
     stops: list[WaveStop] = []
-    for draft in sorted(drafts, key=_steps, reverse=True):
+    for plan in sorted(plans, key=_pool_waves_left, reverse=True):
         if limit is not None and len(stops) >= limit:
             return stops
-        if not draft.pool.spare:
-            stops += _stop_pool(draft, drafts, view)
-    for draft in drafts:
-        if draft.pool.spare:
-            stops += _use_spares(draft, drafts, view)
+        if not plan.pool.spare:
+            stops += _plan_stops(plan, plans, view)
+    for plan in plans:
+        if plan.pool.spare:
+            stops += _plan_spare_stops(plan, plans, view)
     return stops
 
 
-def waves_left(due: int, width: int) -> int:
+def waves_left(due: int, max_parallel: int) -> int:
     """
-    Give the least number of steps in which a budget's instances can be maintained.
+    Return the minimum number of waves in which the due instances can be maintained.
 
-    :param due: instances that are due.
-    :param width: instances that may be out of service at the same time.
-    :returns: steps; very many when nothing may stop.
+    :param due: number of instances that are due.
+    :param max_parallel: number of instances that may be out of service at the same time.
+    :returns: number of waves; a very large number, in proportion to ``due``, when nothing may stop.
     """
-    return 0 if due <= 0 else -(-due // width) if width > 0 else due * 1000
+    return 0 if due <= 0 else -(-due // max_parallel) if max_parallel > 0 else due * 1000
 
 
-def _make_drafts(view: WaveView) -> list[_Draft]:
-    drafts = []
+def _build_plans(view: WaveView) -> list[_PoolPlan]:
+    plans = []
     for pool in view.pools:
         budget = view.budgets[pool.budget]
         due = sum(item.is_due for item in pool.instances)
-        width = max(0, budget.headroom) + budget.under_way
-        left = list(pool.instances)
-        racks = Counter(item.rack for item in left if item.is_due)
-        drafts.append(_Draft(pool, left, due, racks, width, budget.headroom, pool.size))
-    return drafts
+        max_parallel = max(0, budget.headroom) + budget.under_way
+        candidates = list(pool.instances)
+        racks = Counter(item.rack for item in candidates if item.is_due)
+        plans.append(
+            _PoolPlan(pool, candidates, due, racks, max_parallel, budget.headroom, pool.size)
+        )
+    return plans
 
 
-def _stop_pool(draft: _Draft, drafts: Sequence[_Draft], view: WaveView) -> list[WaveStop]:
+def _plan_stops(plan: _PoolPlan, plans: Sequence[_PoolPlan], view: WaveView) -> list[WaveStop]:
     stops = []
-    zones = list(view.budgets[draft.pool.budget].zones)
-    sharing = [other for other in drafts if other.pool.budget == draft.pool.budget]
-    while draft.headroom > 0 and draft.due > 0:
-        chosen = _choose(draft, zones)
-        _take(draft, chosen)
+    zones = list(view.budgets[plan.pool.budget].zones)
+    sharing = [other for other in plans if other.pool.budget == plan.pool.budget]
+    while plan.headroom > 0 and plan.due > 0:
+        chosen = _choose_instance(plan, zones)
+        _remove_candidate(plan, chosen)
         zones.append(chosen.zone)
         for other in sharing:
             other.headroom -= 1
-        target = _better_pool(draft, drafts)
-        _send(draft, target)
-        stops.append(WaveStop(chosen.id, draft.pool.name, target.pool.name))
+        target = _choose_return_pool(plan, plans)
+        _transfer_instance(plan, target)
+        stops.append(WaveStop(chosen.id, plan.pool.name, target.pool.name))
     return stops
 
 
-def _use_spares(spare: _Draft, drafts: Sequence[_Draft], view: WaveView) -> list[WaveStop]:
+def _plan_spare_stops(
+    spare: _PoolPlan, plans: Sequence[_PoolPlan], view: WaveView
+) -> list[WaveStop]:
     stops = []
-    while view.uses_spare and spare.left and spare.size > spare.pool.min:
-        target = _slowest(spare, drafts)
-        if target is None or not _helps(target):
+    while view.uses_spare and spare.candidates and spare.size > spare.pool.min:
+        target = _find_slowest(spare, plans)
+        if target is None or not _gains_from_instance(target):
             break
-        chosen = max(spare.left, key=lambda item: item.is_due)
-        _take(spare, chosen)
-        _send(spare, target)
+        chosen = max(spare.candidates, key=lambda item: item.is_due)
+        _remove_candidate(spare, chosen)
+        _transfer_instance(spare, target)
         stops.append(WaveStop(chosen.id, spare.pool.name, target.pool.name))
-    # What no pool needs is maintained where it is; spare instances serve nothing.
+    # The remaining spare instances are maintained in place; no budget applies because they serve no
+    # requests.
     stops += [
-        WaveStop(item.id, spare.pool.name, spare.pool.name) for item in spare.left if item.is_due
+        WaveStop(item.id, spare.pool.name, spare.pool.name)
+        for item in spare.candidates
+        if item.is_due
     ]
     return stops
 
 
-def _choose(draft: _Draft, zones: Sequence[str]) -> WaveInstance:
+def _choose_instance(plan: _PoolPlan, zones: Sequence[str]) -> WaveInstance:
     """
-    Choose a due instance of a zone in which the wave already is, then of the fullest rack.
+    Choose a due instance, preferably in a zone that the wave already affects, then in the rack with
+    the most due instances.
     """
 
     def order(item: WaveInstance) -> tuple[bool, int]:
-        return bool(zones) and item.zone not in zones, -draft.racks[item.rack]
+        return bool(zones) and item.zone not in zones, -plan.racks[item.rack]
 
-    return min((item for item in draft.left if item.is_due), key=order)
+    return min((item for item in plan.candidates if item.is_due), key=order)
 
 
-def _take(draft: _Draft, item: WaveInstance) -> None:
-    draft.left.remove(item)
-    draft.due -= item.is_due
-    draft.racks[item.rack] -= item.is_due
+def _remove_candidate(plan: _PoolPlan, item: WaveInstance) -> None:
+    plan.candidates.remove(item)
+    plan.due -= item.is_due
+    plan.racks[item.rack] -= item.is_due
 
 
-def _send(origin: _Draft, target: _Draft) -> None:
+def _transfer_instance(origin: _PoolPlan, target: _PoolPlan) -> None:
     if target is origin:
         return
     origin.size -= 1
-    origin.width -= 1
+    origin.max_parallel -= 1
     target.size += 1
-    target.width += 1
+    target.max_parallel += 1
 
 
-def _better_pool(draft: _Draft, drafts: Sequence[_Draft]) -> _Draft:
+def _choose_return_pool(plan: _PoolPlan, plans: Sequence[_PoolPlan]) -> _PoolPlan:
     """
-    Choose where an instance comes back: its own pool, unless that has more than its target and
-    another pool is slower, or nothing is left to do for the surplus.
+    Choose the pool that an instance joins after its stop.
+
+    This is its own pool unless that is above its target size. In this case it is the pool that needs
+    more waves, or a spare pool when the surplus exceeds the instances still due.
     """
-    surplus = draft.size - draft.pool.target
+    surplus = plan.size - plan.pool.target
     if surplus <= 0:
-        return draft
-    slowest = _slowest(draft, drafts)
-    after = waves_left(draft.due, draft.width - 1)
-    if slowest is not None and _helps(slowest) and after < _steps(slowest):
+        return plan
+    slowest = _find_slowest(plan, plans)
+    after = waves_left(plan.due, plan.max_parallel - 1)
+    if slowest is not None and _gains_from_instance(slowest) and after < _pool_waves_left(slowest):
         return slowest
-    if draft.due < surplus:
-        return _spare_pool(draft, drafts) or draft
-    return draft
+    if plan.due < surplus:
+        return _find_spare_pool(plan, plans) or plan
+    return plan
 
 
-def _slowest(origin: _Draft, drafts: Sequence[_Draft]) -> _Draft | None:
-    able = [
+def _find_slowest(origin: _PoolPlan, plans: Sequence[_PoolPlan]) -> _PoolPlan | None:
+    candidates = [
         other
-        for other in drafts
+        for other in plans
         if other is not origin
         and not other.pool.spare
         and other.pool.role == origin.pool.role
         and other.size < other.pool.max
         and other.due > 0
     ]
-    return max(able, key=_steps, default=None)
+    return max(candidates, key=_pool_waves_left, default=None)
 
 
-def _helps(draft: _Draft) -> bool:
-    # An instance arrives one step later, so it helps only with what is left after that.
-    left = draft.due - max(0, draft.width)
-    return waves_left(left, draft.width + 1) < waves_left(left, draft.width)
+def _gains_from_instance(plan: _PoolPlan) -> bool:
+    # A moved instance arrives one wave later, so it only helps with the instances due after that.
+    remaining = plan.due - max(0, plan.max_parallel)
+    return waves_left(remaining, plan.max_parallel + 1) < waves_left(remaining, plan.max_parallel)
 
 
-def _steps(draft: _Draft) -> int:
-    return waves_left(draft.due, draft.width)
+def _pool_waves_left(plan: _PoolPlan) -> int:
+    return waves_left(plan.due, plan.max_parallel)
 
 
-def _spare_pool(origin: _Draft, drafts: Sequence[_Draft]) -> _Draft | None:
-    able = [
+def _find_spare_pool(origin: _PoolPlan, plans: Sequence[_PoolPlan]) -> _PoolPlan | None:
+    candidates = [
         other
-        for other in drafts
+        for other in plans
         if other.pool.spare and other.pool.role == origin.pool.role and other.size < other.pool.max
     ]
-    return able[0] if able else None
+    return candidates[0] if candidates else None
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_waves_preview.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_waves_preview.py
@@ -1,5 +1,5 @@
 """
-Foretells the waves of a maintenance round by planning one after the other.
+Preview of the waves of a maintenance round, planned one after another.
 """
 
 from typing import NamedTuple
@@ -13,8 +13,9 @@
     """
     One wave of a preview.
 
-    :param stops: what stops.
-    :param margin: the least room that any touched budget has left meanwhile.
+    :param stops: the planned stops.
+    :param margin: smallest headroom during the wave among the affected budgets, except those of
+        spare pools.
     """
 
     stops: tuple[WaveStop, ...]
@@ -23,14 +24,14 @@
 
 def preview(view: WaveView) -> list[PlannedWave]:
     """
-    Plan the whole round as if each wave ended before the next and nothing failed.
+    Plan the whole round, assuming that each wave ends before the next one and that nothing fails.
 
-    :param view: the pools and budgets now.
-    :returns: the waves; the last ones are missing when a budget lets nothing stop.
+    :param view: the current pools and budgets.
+    :returns: the waves; incomplete when a budget doesn't let the remaining instances stop.
     """
     waves: list[PlannedWave] = []
-    # What is under way now comes back first.
-    view = view._replace(budgets={name: _returned(room) for name, room in view.budgets.items()})
+    # Assumes that the stops under way end before the first wave.
+    view = view._replace(budgets={name: _after_stops(item) for name, item in view.budgets.items()})
     while len(waves) < MAX_WAVES:
         stops = plan_wave(view)
         if not stops:
@@ -42,11 +43,11 @@
 
 def apply_wave(view: WaveView, stops: list[WaveStop]) -> WaveView:
     """
-    Give the view once the stops of a wave have come back.
+    Return the view after the instances of a wave have returned to service.
 
-    :param view: the view before.
-    :param stops: the wave.
-    :returns: the view after.
+    :param view: the view before the wave.
+    :param stops: stops of the wave.
+    :returns: the view after the wave.
     """
     targets = {stop.instance: stop.target for stop in stops}
     moved: dict[str, list[WaveInstance]] = {pool.name: [] for pool in view.pools}
@@ -55,28 +56,28 @@
             if item.id in targets:
                 moved[targets[item.id]].append(item._replace(is_due=False))
     pools = []
-    rooms = {name: room.headroom for name, room in view.budgets.items()}
+    headrooms = {name: budget.headroom for name, budget in view.budgets.items()}
     for pool in view.pools:
-        stay = tuple(item for item in pool.instances if item.id not in targets)
-        growth = len(moved[pool.name]) - (len(pool.instances) - len(stay))
-        rooms[pool.budget] += growth
-        instances = stay + tuple(moved[pool.name])
+        remaining = tuple(item for item in pool.instances if item.id not in targets)
+        growth = len(moved[pool.name]) - (len(pool.instances) - len(remaining))
+        headrooms[pool.budget] += growth
+        instances = remaining + tuple(moved[pool.name])
         pools.append(pool._replace(instances=instances, size=pool.size + growth))
-    budgets = {name: WaveBudget(room, 0) for name, room in rooms.items()}
+    budgets = {name: WaveBudget(headroom, 0) for name, headroom in headrooms.items()}
     return view._replace(pools=tuple(pools), budgets=budgets)
 
 
-def _returned(budget: WaveBudget) -> WaveBudget:
+def _after_stops(budget: WaveBudget) -> WaveBudget:
     return WaveBudget(budget.headroom + budget.under_way, 0)
 
 
 def _margin(view: WaveView, stops: list[WaveStop]) -> int:
-    budget_of = {pool.name: pool.budget for pool in view.pools}
-    served = {pool.budget for pool in view.pools if not pool.spare}
+    budget_by_pool = {pool.name: pool.budget for pool in view.pools}
+    serving = {pool.budget for pool in view.pools if not pool.spare}
     used: dict[str, int] = {}
     for stop in stops:
-        name = budget_of[stop.origin]
+        name = budget_by_pool[stop.origin]
         used[name] = used.get(name, 0) + 1
     return min(
-        (view.budgets[n].headroom - count for n, count in used.items() if n in served), default=0
+        (view.budgets[n].headroom - count for n, count in used.items() if n in serving), default=0
     )
