--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_controllers.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_controllers.py
@@ -1,9 +1,10 @@
 """
-Controllers: which entry instance plans and carries out the moves of a shard.
+Choice of the controller of a shard, the entry instance that plans and executes its moves.
 
-A shard is one document's pools. Rendezvous hashing over the entry instances that write to the log
-picks its controller, which claims it with a record; the claim's revision fences earlier ones.
-Renewed leases of allowances show who writes to the log, so that controllers need no heartbeats.
+A shard consists of the pools of one document. Rendezvous hashing over the entry instances that can
+write to the log selects its controller, which claims the shard with a record. The offset of the
+claim is the fencing token against earlier claims. Renewals of allowance leases show which instances
+can write to the log, so controllers need no heartbeats of their own.
 """
 
 from collections.abc import Iterator
@@ -20,21 +21,21 @@
 from ._state import State
 
 CHECK_EVERY_S = 0.5
-# Longer than two renewals of a lease.
+# Longer than two renewal intervals of a lease.
 RENEWAL_TIMEOUT_S = 25.0
-# After the log was out, every instance gets time for a renewal before shards are taken over.
+# After an outage of the log, every instance has this time for a renewal before takeovers begin.
 LOG_RECOVERY_S = 15.0
-# A first choice takes an idle shard over from a live controller after this time.
+# The preferred instance takes over an idle shard from a live controller after this time.
 PREFERRED_TAKEOVER_S = 60.0
 PROPOSE_AGAIN_S = 5.0
 
 
 def owned_shards(state: State) -> list[str]:
     """
-    Give the shards that this instance controls, as far as it has folded the log.
+    Return the shards that this instance controls, according to the log as far as it is folded.
 
-    :param state: the state.
-    :returns: names of documents.
+    :param state: state of this entry instance.
+    :returns: sorted names of the documents.
     """
     sender = state.identity.sender
     return [
@@ -46,11 +47,11 @@
 
 def claim_of(state: State, shard: str) -> int:
     """
-    Give the offset of the claim on a shard.
+    Return the offset of the current claim on a shard.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param shard: name of the document.
-    :returns: the offset, 0 when nobody has claimed it.
+    :returns: the offset, 0 for an unclaimed shard.
     """
     claim = state.fold.pools.claims.get(shard)
     return 0 if claim is None else claim.offset
@@ -58,14 +59,15 @@
 
 def propose_record(state: State, kind: str, subject: str, body: dict[str, Any]) -> Iterator[object]:
     """
-    Ask for a record once for each revision of its subject, and again when nothing came of it.
+    Propose a record once per revision of its subject, and retry after `PROPOSE_AGAIN_S` without a
+    result.
 
-    Nothing is asked while the log is out, so that no decision waits there until it is outdated.
+    Nothing is proposed while the log is unavailable, so that no stale decision is appended later.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param kind: kind of the record.
-    :param subject: what it changes.
-    :param body: its fields.
+    :param subject: subject of the record.
+    :param body: fields of the record.
     :returns: the effects.
     """
     if not state.log.available:
@@ -84,7 +86,7 @@
 
 def on_folded(state: State, event: RecordFolded) -> Iterator[object]:
     """
-    Note who writes to the log.
+    Track which instances renew their leases, and drop the pending proposal for the subject.
     """
     if event.accepted and event.record.kind == HOLDER_RENEWED:
         state.fleet.renewed_s[event.record.id.writer] = state.now_s
@@ -94,7 +96,7 @@
 
 def on_log_unavailable(state: State, event: LogUnavailable) -> Iterator[object]:
     """
-    Note that nobody's renewals can be seen now.
+    Record the time, because renewals can't be observed while the log is unavailable.
     """
     state.fleet.log_unavailable_s = state.now_s
     yield from ()
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fleet_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fleet_state.py
@@ -1,5 +1,5 @@
 """
-What an entry instance keeps about the fleet besides the fold.
+State about the fleet that an entry instance keeps in memory besides the folded state.
 """
 
 from typing import NamedTuple
@@ -13,10 +13,10 @@
 
 class ProposedRecord(NamedTuple):
     """
-    A record that was asked for and is not decided yet.
+    A proposed record whose acceptance or rejection is pending.
 
     :param base: revision that it builds on.
-    :param at_s: time of asking.
+    :param at_s: time of the proposal.
     """
 
     base: int
@@ -25,14 +25,14 @@
 
 class StepProgress(msgspec.Struct):
     """
-    How far this controller has come with one step of an instance.
+    Progress of this controller with one step of an instance.
 
-    :param epoch: the step.
-    :param since_s: time at which this controller first saw the step.
-    :param sent_s: time at which the platform was last asked.
-    :param is_acknowledged: whether the platform has done all that the step needs.
+    :param epoch: epoch of the step.
+    :param since_s: time at which this controller first processed the step.
+    :param sent_s: time of the last call to the platform.
+    :param is_acknowledged: whether the platform has completed all actions of the step.
     :param is_rebooted: whether the platform has rebooted the instance in this step.
-    :param failures: times that the platform failed to do it.
+    :param failures: number of actions that the platform reported as failed.
     """
 
     epoch: int
@@ -45,10 +45,10 @@
 
 class DrainBackoff(NamedTuple):
     """
-    Drains of an instance that did not end in time.
+    Backoff after drains of an instance that timed out.
 
-    :param failed_drains: how many in a row.
-    :param retry_at_s: time before which it is not drained again.
+    :param failed_drains: number of consecutive drains that timed out.
+    :param retry_at_s: time before which the instance is not drained again.
     """
 
     failed_drains: int
@@ -59,12 +59,13 @@
     """
     The platform's inventory as last read.
 
-    :param at_s: the platform's time in it.
-    :param requested_s: own time at which the read was asked for; after a pause that is long ago.
+    :param at_s: time of the inventory, on the platform's clock.
+    :param requested_s: local time of the request, so that an inventory delivered after a pause of
+        this process counts as old.
     :param version: version of the inventory.
-    :param shards: documents whose instances it holds.
+    :param shards: documents whose instances it contains.
     :param instances: instances by id.
-    :param missing_since_s: own time at which an instance of the fold was first found missing.
+    :param missing_since_s: local time since which an instance is missing from the inventory.
     """
 
     at_s: float = 0.0
@@ -77,11 +78,11 @@
 
 class DownCache(NamedTuple):
     """
-    The instances that are down or unseen, worked out once for each moment.
+    Cache of the instances that are down or missing, computed once per time and log offset.
 
-    :param at_s: own time at which they were worked out.
-    :param next_offset: place in the log at which they were worked out.
-    :param names: their ids.
+    :param at_s: local time of the computation.
+    :param next_offset: offset in the log at the computation.
+    :param names: ids of the instances.
     """
 
     at_s: float
@@ -91,10 +92,10 @@
 
 class LoadReport(NamedTuple):
     """
-    What one entry instance last told of its load.
+    The last load report of one entry instance.
 
-    :param rows: one per service.
-    :param at_s: own time of its arrival.
+    :param rows: one row per service.
+    :param at_s: local time of receipt.
     """
 
     rows: tuple[ServiceLoad, ...]
@@ -103,10 +104,10 @@
 
 class KnownFailures(NamedTuple):
     """
-    Instances that were down when the last order of maintenance came.
+    Instances that were already down at the last maintenance order.
 
     :param order: revision of the order.
-    :param names: those that are down still.
+    :param names: ids of those that are still down.
     """
 
     order: int
@@ -115,9 +116,9 @@
 
 class DemandHistory(msgspec.Struct):
     """
-    How often a service's demand was how large; older samples count less.
+    Histogram of a service's demand, in which the weight of samples decays with their age.
 
-    :param weights: weight by demand in whole instances, rounded up.
+    :param weights: weight in seconds by demand, in instances rounded up.
     :param updated_s: time of the last sample.
     """
 
@@ -127,23 +128,29 @@
 
 class FleetState(msgspec.Struct):
     """
-    State of controllers, moves and planning at this instance.
-
-    :param down_cache: instances that are down or unseen, as last worked out.
-    :param renewed_s: own time at which each entry instance was last seen to write to the log.
-    :param log_unavailable_s: own time at which the log was last out of reach.
-    :param preferred_since_s: time since which this instance is first choice of a shard.
-    :param proposed: records asked for, by subject.
-    :param progress: steps under way by instance.
-    :param drain_backoffs: instances whose drains did not end.
-    :param load_samples: samples of the own load since the last report.
-    :param load_counts: requests of each service in those samples that found any.
-    :param load_reports: load of each service by entry instance.
-    :param demand: history of demand by service.
-    :param moves_planned_s: time of the last plan by shard.
-    :param maintenance_planned_s: time of the last plan of maintenance by shard.
-    :param known_failures: failures that a shard's last order has accepted.
-    :param last_stopped_s: time at which instances were last seen stopped for maintenance.
+    State of controllers, moves and planning at this instance; all times are local.
+
+    :param claims_checked_s: time of the last check for shards to claim.
+    :param inventory_read_s: time of the last read of the inventory.
+    :param load_reported_s: time of the last report of the local load.
+    :param demand_sampled_s: time of the last sample of demand.
+    :param log_unavailable_s: time at which the log last became unavailable.
+    :param inventory: the platform's inventory as last read.
+    :param down_cache: instances that are down or missing from the inventory, as last computed.
+    :param renewed_s: time of the last folded lease renewal, by entry instance.
+    :param preferred_since_s: time since which this instance is the preferred controller, by shard.
+    :param proposed: pending proposals of records, by subject.
+    :param progress: progress of the current step, by instance.
+    :param drain_backoffs: backoffs after drains that timed out, by instance.
+    :param load_sampled_s: time of the last sample of the local load.
+    :param load_samples: number of samples of the local load since the last report.
+    :param load_counts: nonzero numbers of requests in these samples, by service.
+    :param load_reports: last load report, by entry instance.
+    :param demand: demand history by service.
+    :param moves_planned_s: time of the last plan of moves, by shard.
+    :param maintenance_planned_s: time of the last plan of maintenance, by shard.
+    :param last_stopped_s: time at which an instance was last observed stopped for maintenance.
+    :param known_failures: failures that existed at a shard's last maintenance order.
     """
 
     claims_checked_s: float = NEVER_S
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fleet_view.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fleet_view.py
@@ -1,5 +1,5 @@
 """
-What this instance sees of the fleet: the platform's inventory and each service's load.
+The fleet as observed by this instance: the platform's inventory and the load of each service.
 """
 
 from collections import Counter
@@ -16,9 +16,9 @@
 from ._state import State
 
 INVENTORY_READ_EVERY_S = 1.0
-# An older inventory starts no stop and lets none go on.
+# With an older inventory, no stop is started or continued.
 INVENTORY_VALID_S = 5.0
-# An instance that the inventory leaves out this long counts as gone for good.
+# An instance that is missing from the inventory for this time is removed from the fleet.
 REMOVE_MISSING_AFTER_S = 600.0
 LOAD_SAMPLE_EVERY_S = 1.0
 REPORT_EVERY_S = 20.0
@@ -27,20 +27,20 @@
 
 def is_inventory_fresh(state: State) -> bool:
     """
-    Tell whether the inventory is new enough to act on.
+    Return whether the inventory is recent enough to act on.
 
-    :param state: the state.
-    :returns: whether it is.
+    :param state: state of this entry instance.
+    :returns: whether its request is at most `INVENTORY_VALID_S` old.
     """
     return state.now_s - state.fleet.inventory.requested_s <= INVENTORY_VALID_S
 
 
 def down_instances(state: State) -> frozenset[str]:
     """
-    Give the instances that are down or unseen.
+    Return the instances that are down or missing from the inventory.
 
-    :param state: the state.
-    :returns: ids of instances of the fold; all of them while the inventory is too old.
+    :param state: state of this entry instance.
+    :returns: ids of instances in the folded state; all of them while the inventory is too old.
     """
     memo = state.fleet.down_cache
     if memo.at_s == state.now_s and memo.next_offset == state.fold.position.next_offset:
@@ -52,10 +52,10 @@
 
 def platform_now_s(state: State) -> float:
     """
-    Estimate the platform's time.
+    Estimate the current time on the platform's clock.
 
-    :param state: the state.
-    :returns: seconds, 0 before an inventory was read.
+    :param state: state of this entry instance.
+    :returns: seconds, 0 before the first inventory.
     """
     inventory = state.fleet.inventory
     if inventory.requested_s == NEVER_S:
@@ -65,13 +65,13 @@
 
 def service_load_quantiles(state: State) -> dict[str, list[int]]:
     """
-    Add up what all entry instances reported lately.
+    Return the load of each service, summed over the recent reports of all entry instances.
 
-    Callers of a queue are spread over the entry instances, so their loads rise and fall together,
-    and equal quantiles may be added.
+    Callers of a queue are spread over the entry instances, so the loads of the instances are
+    correlated, and the same quantiles of different instances may be added.
 
-    :param state: the state.
-    :returns: requests that ran or waited, as quantiles, by service.
+    :param state: state of this entry instance.
+    :returns: number of running and queued requests, as quantiles, by service.
     """
     quantiles: dict[str, list[int]] = {}
     for report in state.fleet.load_reports.values():
@@ -85,7 +85,7 @@
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Read the inventory while a shard is controlled here, and report the load to controllers.
+    Read the inventory while this instance controls a shard, and report the load to controllers.
     """
     fleet = state.fleet
     if state.now_s - fleet.inventory_read_s >= INVENTORY_READ_EVERY_S:
@@ -101,7 +101,7 @@
 
 def on_inventory(state: State, event: InventoryReceived) -> Iterator[object]:
     """
-    Take over the inventory unless a newer one is known.
+    Apply an inventory or its changes, unless a newer one is known or changes are missing.
     """
     inventory = state.fleet.inventory
     if event.requested_s < inventory.requested_s or event.since not in (0, inventory.version):
@@ -118,7 +118,7 @@
 
 def on_peer(state: State, event: PeerReceived) -> Iterator[object]:
     """
-    Note another instance's load.
+    Store the load report of another entry instance.
     """
     if isinstance(event.message, ServiceLoadReported):
         report = LoadReport(event.message.rows, state.now_s)
@@ -140,12 +140,12 @@
     known = state.fold.pools.instances
     if not is_inventory_fresh(state):
         return frozenset(known)
-    seen = state.fleet.inventory.instances
-    return frozenset(name for name in known if name not in seen or not seen[name].is_up)
+    listed = state.fleet.inventory.instances
+    return frozenset(name for name in known if name not in listed or not listed[name].is_up)
 
 
 def _report_load(state: State) -> Iterator[object]:
-    rows = _own_rows(state)
+    rows = _take_load_rows(state)
     state.fleet.load_reports[state.identity.sender.instance] = LoadReport(rows, state.now_s)
     for instance, shards in _other_controllers(state).items():
         peer = state.membership.peers.get(instance)
@@ -174,7 +174,7 @@
             fleet.load_counts.setdefault(name, []).append(count)
 
 
-def _own_rows(state: State) -> tuple[ServiceLoad, ...]:
+def _take_load_rows(state: State) -> tuple[ServiceLoad, ...]:
     fleet = state.fleet
     rows = tuple(
         ServiceLoad(name, tuple(int(level) for level in quantiles_of(counts, fleet.load_samples)))
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_maintenance.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_maintenance.py
@@ -1,8 +1,9 @@
 """
-Carries maintenance on: stops what is due within the budgets, and pauses when failures look related.
+Control of maintenance rounds: stops due instances within the availability budgets, and pauses a
+round when failures look related.
 
-Every move of an instance reboots it, so an instance is due by the age of its last boot, or when it
-has not been rebooted since a round began.
+Every move of an instance reboots it, so an instance is due when its last boot is too long ago, or
+when it has not been rebooted since the round began.
 """
 
 from collections import Counter
@@ -31,28 +32,28 @@
 from ._waves_planner import WaveBudget, WaveInstance, WavePool, WaveView, plan_wave
 
 PERIOD_S = 14 * 86_400.0
-# Part of the period after which an instance is due, so that the rest is left for the work.
+# Fraction of the period after which an instance is due. The rest is the time to carry out the work.
 DUE_FRACTION = 0.7
 PLAN_EVERY_S = 5.0
-# Keeps a large round from filling the log with records.
+# Limits the rate at which a large round appends records to the log.
 STOPS_PER_PLAN = 50
-# Time after a stop during which a failure of the instance is held against the round.
+# Time after a stop during which a failure of the instance is attributed to the round.
 STOP_WATCH_S = 300.0
 FAILED_ATTEMPTS = 2
-# Time after a reboot until the inventory shows it.
+# Maximum delay after a reboot until the inventory reflects it.
 INVENTORY_LAG_S = 5.0
-# Failures from which a round is paused: of stopped instances, and of others in one rack or zone.
+# Numbers of failures that pause a round: of stopped instances, and of others in one rack or zone.
 RELATED_STOPS = 2
 RELATED_IN_RACK = 2
 RELATED_IN_ZONE = 3
-# Part of a zone's instances that must be down in a large zone.
+# In a large zone, the fraction of its instances that must be down to pause a round.
 RELATED_ZONE_SHARE = 0.02
 CONTROLLER_AUTHOR = "controller"
 
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Plan the maintenance of each shard that is controlled here when its turn has come.
+    Plan the maintenance of each controlled shard at its interval.
     """
     if state.stopping or not state.log.available or not is_inventory_fresh(state):
         return
@@ -65,9 +66,9 @@
 
 def maintain_shard(state: State, shard: str) -> Iterator[object]:
     """
-    Ask for the stops of a shard that are due now, or for a pause.
+    Propose the stops of a shard that are due now, or a pause of the round.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param shard: name of the document.
     :returns: the effects.
     """
@@ -89,9 +90,9 @@
 
 def round_of(state: State, shard: str) -> Round:
     """
-    Give the maintenance round of a shard.
+    Return the maintenance round of a shard.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param shard: name of the document.
     :returns: the round.
     """
@@ -100,12 +101,12 @@
 
 def is_due(state: State, name: str, entry: FleetInstance) -> bool:
     """
-    Tell whether an instance is to be maintained.
+    Return whether an instance is due for maintenance.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param name: id of the instance.
     :param entry: the instance.
-    :returns: whether the round has not reached it, or its last boot is long ago.
+    :returns: whether the current round has not rebooted it yet, or its last boot is too long ago.
     """
     if entry.booted_offset < round_of(state, shard_of(entry.pool)).offset:
         return True
@@ -114,12 +115,12 @@
 
 def boot_age_s(state: State, name: str, entry: FleetInstance) -> float:
     """
-    Give the time since the last boot of an instance.
+    Return the time since the last boot of an instance.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param name: id of the instance.
     :param entry: the instance.
-    :returns: seconds of the platform's time, 0 before an inventory was read.
+    :returns: seconds on the platform's clock, 0 before the first inventory.
     """
     seen = state.fleet.inventory.instances.get(name)
     booted_at_s = max(entry.booted_at_s, 0.0 if seen is None else seen.booted_at_s)
@@ -128,12 +129,12 @@
 
 def view_of(state: State, shard: str, down: frozenset[str]) -> WaveView:
     """
-    Describe a shard for the planner of waves.
+    Build the input of the wave planner for a shard.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param shard: name of the document.
-    :param down: instances that are down or unseen.
-    :returns: plain data.
+    :param down: ids of instances that are down or missing from the inventory.
+    :returns: the input of the planner, as plain data.
     """
     pools = pools_of(state.fold, shard).values()
     budgets: dict[str, WaveBudget] = {}
@@ -145,12 +146,12 @@
 
 def related_failures(state: State, shard: str, down: frozenset[str]) -> str:
     """
-    Look for failures that may have one cause.
+    Look for failures that may have a common cause.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param shard: name of the document.
-    :param down: instances that are down or unseen.
-    :returns: what was found, or an empty text.
+    :param down: ids of instances that are down or missing from the inventory.
+    :returns: a description of the failures, or an empty string.
     """
     instances = state.fold.pools.instances
     new = _without_recent_reboots(state, down) - _known_failures(state, shard, down)
@@ -174,7 +175,7 @@
 
 def _without_recent_reboots(state: State, down: frozenset[str]) -> frozenset[str]:
     """
-    Leave out instances that the inventory can't yet show as back from their reboot.
+    Exclude instances whose recovery from a reboot the inventory can't reflect yet.
     """
     instances = state.fold.pools.instances
     until_s = state.fleet.inventory.at_s - INVENTORY_LAG_S
@@ -183,7 +184,7 @@
 
 def _known_failures(state: State, shard: str, down: frozenset[str]) -> frozenset[str]:
     """
-    Give the failures that were there at the last order, which its operator has accepted.
+    Return the failures that already existed at the last order, which its operator has accepted.
     """
     order = state.fold.position.revisions.get(maintenance_subject(shard), 0)
     known = state.fleet.known_failures.get(shard)
@@ -208,7 +209,7 @@
 
 def _track_stops(state: State, shard: str) -> None:
     """
-    Remember which instances are stopped for maintenance, or were until a while ago.
+    Track which instances are stopped for maintenance or were within the last `STOP_WATCH_S`.
     """
     fleet, instances = state.fleet, state.fold.pools.instances
     for name in state.fold.pools.moving:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_maintenance_fold.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_maintenance_fold.py
@@ -1,5 +1,5 @@
 """
-Maintenance rounds as decided by the log.
+Maintenance rounds, folded from the log.
 """
 
 from collections.abc import Callable
@@ -24,13 +24,14 @@
 
 class Round(msgspec.Struct):
     """
-    The maintenance of one shard.
-
-    :param offset: order that began the round, 0 for none: only what has become too old is due.
-    :param aborted_offset: order that ended the last round early, or 0.
-    :param is_paused: whether nothing new may be stopped.
-    :param author: who gave the last order.
-    :param reason: why.
+    The state of maintenance of one shard.
+
+    :param offset: offset of the order that started the round; 0 without a round, when instances are
+        due only by the age of their last boot.
+    :param aborted_offset: offset of the order that aborted the last round, or 0.
+    :param is_paused: whether no further instance may be stopped.
+    :param author: author of the last order.
+    :param reason: reason given in the last order.
     """
 
     offset: int = 0
@@ -42,7 +43,7 @@
 
 class MaintenanceFold(msgspec.Struct):
     """
-    Maintenance by shard.
+    Folded maintenance rounds by shard.
     """
 
     rounds: dict[str, Round] = msgspec.field(default_factory=dict)
@@ -50,7 +51,7 @@
 
 class MaintenanceView(FoldView, Protocol):
     """
-    The part of the folded state that orders depend on.
+    The part of the folded state that maintenance orders depend on.
     """
 
     maintenance: MaintenanceFold
@@ -61,7 +62,7 @@
     The body of a ``maintenance.ordered`` record.
 
     :param action: ``start``, ``pause``, ``resume`` or ``abort``.
-    :param claim: a controller's claim; 0 for an operator's order.
+    :param claim: offset of the controller's claim, 0 for an operator's order.
     """
 
     shard: str
@@ -73,19 +74,19 @@
 
 def apply_order(fold: MaintenanceView, offset: int, record: Record) -> str:
     """
-    Begin, pause, resume or end a round.
+    Start, pause, resume or abort a round.
 
-    :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param fold: the folded state, modified in place.
+    :param offset: offset of the record in the log.
     :param record: a ``maintenance.ordered`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason for rejecting the record, or an empty string.
     """
     body = records.read_body(record, OrderBody)
     if body is None or body.action not in ACTIONS:
         return REASON_INVALID_ORDER
     if record.subject != maintenance_subject(body.shard) or not fold.config.pools.get(body.shard):
         return REASON_INVALID_ORDER
-    if body.claim and not _is_claim(fold, record, body):
+    if body.claim and not _is_current_claim(fold, record, body):
         return records.REASON_NOT_CONTROLLER
     current = fold.maintenance.rounds.get(body.shard, Round())
     if body.action == ABORT and not current.offset:
@@ -102,18 +103,18 @@
 
 def is_round_aborted(fold: MaintenanceView, pool: str, epoch: int) -> bool:
     """
-    Tell whether a maintenance stop belongs to a round that was ended since.
+    Return whether a maintenance stop belongs to a round that has been aborted since.
 
     :param fold: the folded state.
     :param pool: pool of the instance.
     :param epoch: epoch of its drain.
-    :returns: whether it is to be called back.
+    :returns: whether the drain must be cancelled.
     """
     current = fold.maintenance.rounds.get(shard_of(pool))
     return current is not None and epoch < current.aborted_offset
 
 
-def _is_claim(fold: MaintenanceView, record: Record, body: OrderBody) -> bool:
+def _is_current_claim(fold: MaintenanceView, record: Record, body: OrderBody) -> bool:
     claim = Claim(record.id.writer, record.id.incarnation, body.claim)
     return fold.pools.claims.get(body.shard) == claim
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_moves.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_moves.py
@@ -1,13 +1,13 @@
 """
-Carries out the steps of moves: drain, leave, reboot, join.
+Execution of the steps of moves: drain, leave, reboot, join.
 
-Each call to the platform carries the epoch of its step and may be repeated, so a controller that
-takes over begins the step anew. A record is asked for only after the platform has done the step.
-Without the log no step begins; an instance that has left is still brought into its new pool.
+Each call to the platform carries the epoch of its step and is idempotent, so a controller that
+takes over can restart the step. A record is proposed only after the platform has completed the
+step. While the log is unavailable no step begins, but an instance that has left its pool is still
+brought into service in its new one.
 
-A drain that doesn't end is never forced: after `DRAIN_LIMIT_S` the instance is called back, and
-drained again after a pause that doubles each time. From `STUCK_AFTER` such drains on, it is shown
-to the operators as stuck.
+A drain that doesn't end is never forced. After `drain_limit_s` it is cancelled and retried with an
+exponential backoff. After `STUCK_AFTER` such drains in a row, operators see the instance as stuck.
 """
 
 from collections.abc import Iterator
@@ -42,7 +42,7 @@
 from ._state import State
 
 RESEND_S = 1.0
-# Added to the longest run time of the pool's queues.
+# Added to the longest run time of the queues that the pool serves.
 DRAIN_MARGIN_S = 30.0
 DRAIN_LIMIT_DEFAULT_S = 900.0
 DRAIN_BACKOFF_S = 600.0
@@ -52,7 +52,7 @@
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Push on every move of the shards that are controlled here.
+    Advance every move of the shards that this instance controls.
     """
     owned = frozenset(owned_shards(state))
     moving = state.fold.pools.moving
@@ -66,7 +66,7 @@
 
 def on_reported(state: State, event: StepReported) -> Iterator[object]:
     """
-    Take the platform's answer, if it is about the present step.
+    Process the platform's response unless it refers to an earlier step.
     """
     entry = state.fold.pools.instances.get(event.instance)
     progress = state.fleet.progress.get(event.instance)
@@ -88,9 +88,9 @@
 
 def drain_limit_s(state: State, entry: FleetInstance) -> float:
     """
-    Give the time that an instance has to finish what it runs.
+    Return the timeout of a drain, in which an instance has to finish its running work.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param entry: the instance.
     :returns: seconds.
     """
@@ -103,13 +103,13 @@
 
 def stuck_instances(state: State) -> list[str]:
     """
-    Give the instances whose drains failed to end again and again.
+    Return the instances whose last `STUCK_AFTER` or more drains timed out.
 
-    :param state: the state.
-    :returns: ids, sorted.
+    :param state: state of this entry instance.
+    :returns: sorted ids.
     """
     drain_backoffs = state.fleet.drain_backoffs.items()
-    return sorted(name for name, setback in drain_backoffs if setback.failed_drains >= STUCK_AFTER)
+    return sorted(name for name, backoff in drain_backoffs if backoff.failed_drains >= STUCK_AFTER)
 
 
 def _advance_step(state: State, name: str, entry: FleetInstance) -> Iterator[object]:
@@ -171,9 +171,9 @@
 
 def _exceeds_budget(state: State, name: str, entry: FleetInstance) -> bool:
     """
-    Tell whether failures since the start of a drain mean that it must be called back.
+    Return whether a drain must be cancelled because failures since its start exceed the budget.
 
-    The newest drains of a service are called back first, as many as are missing.
+    The newest drains that share the budget are cancelled first, as many as instances are missing.
     """
     down = down_instances(state)
     pools = pools_of(state.fold, shard_of(entry.pool))
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_moves_fold.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_moves_fold.py
@@ -1,9 +1,8 @@
 """
-What records of the steps of a move mean.
+Applies records of the steps of moves to the folded state.
 
-The pool of an instance changes in one record only, ``move.left``, which an instance reaches once it
-has drained. Each step names the claim of the controller that made it, so a controller that was
-replaced can't go on.
+Only the record ``move.left`` changes the pool of an instance, after it has drained. Each record
+states the claim of its controller as a fencing token, so a replaced controller can't continue.
 """
 
 from collections.abc import Callable
@@ -37,12 +36,12 @@
 
 def apply_started(fold: FoldView, offset: int, record: Record) -> str:
     """
-    Begin to drain an instance, if its service's budget has room.
+    Start to drain an instance if its budget has headroom.
 
-    :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param fold: the folded state, modified in place.
+    :param offset: offset of the record in the log.
     :param record: a ``move.started`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason for rejecting the record, or an empty string.
     """
     body = records.read_body(record, StartedBody)
     entry = None if body is None else records.find_instance(fold, record, body.instance)
@@ -60,12 +59,12 @@
 
 def apply_left(fold: FoldView, offset: int, record: Record) -> str:
     """
-    Move a drained instance from its pool to its target.
+    Move a drained instance from its pool to the destination pool.
 
-    :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param fold: the folded state, modified in place.
+    :param offset: offset of the record in the log.
     :param record: a ``move.left`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason for rejecting the record, or an empty string.
     """
     body = records.read_body(record, StepBody)
     entry = None if body is None else records.find_instance(fold, record, body.instance)
@@ -82,12 +81,12 @@
 
 def apply_joined(fold: FoldView, offset: int, record: Record) -> str:
     """
-    Count an instance as in service again.
+    Put an instance back in service.
 
-    :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param fold: the folded state, modified in place.
+    :param offset: offset of the record in the log.
     :param record: a ``move.joined`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason for rejecting the record, or an empty string.
     """
     body = records.read_body(record, StepBody)
     entry = None if body is None else records.find_instance(fold, record, body.instance)
@@ -108,12 +107,12 @@
 
 def apply_aborted(fold: FoldView, offset: int, record: Record) -> str:
     """
-    Call an instance back that is still draining; one that has left goes on to its new pool.
+    Cancel the drain of an instance; one that has already left its pool continues the move.
 
-    :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param fold: the folded state, modified in place.
+    :param offset: offset of the record in the log.
     :param record: a ``move.aborted`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason for rejecting the record, or an empty string.
     """
     body = records.read_body(record, StepBody)
     entry = None if body is None else records.find_instance(fold, record, body.instance)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_control.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_control.py
@@ -131,8 +131,8 @@
     :param name: id of the instance.
     :returns: whether its last drains timed out and its backoff has not elapsed.
     """
-    setback = state.fleet.drain_backoffs.get(name)
-    return setback is not None and state.now_s < setback.retry_at_s
+    backoff = state.fleet.drain_backoffs.get(name)
+    return backoff is not None and state.now_s < backoff.retry_at_s
 
 
 def _need_of(state: State, pool: Pool, down: frozenset[str]) -> PoolNeed:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_waves_planner.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_waves_planner.py
@@ -234,8 +234,8 @@
     """
     Choose the pool that an instance joins after its stop.
 
-    This is its own pool unless that is above its target size. In this case it is the pool that needs
-    more waves, or a spare pool when the surplus exceeds the instances still due.
+    This is its own pool unless that is above its target size. In this case it is a slower pool, or
+    a spare pool when the surplus exceeds the number of instances still due.
     """
     surplus = plan.size - plan.pool.target
     if surplus <= 0:
--- a/packages/eelgrassdrum-core/tests/test_pools.py
+++ b/packages/eelgrassdrum-core/tests/test_pools.py
@@ -1,5 +1,5 @@
 """
-Pools: the planner's choices, the forecast, and what the fold takes and rejects.
+Pools: the planner, the forecast, and which records the fold accepts or rejects.
 """
 
 import msgspec
@@ -23,7 +23,7 @@
 
 class FoldedLog(msgspec.Struct):
     """
-    Writes records one after the other and folds them.
+    A log whose records are folded as they are written.
     """
 
     fold: Fold = msgspec.field(default_factory=Fold)
@@ -31,14 +31,15 @@
 
     def write(self, writer: str, kind: str, subject: str, **body: object) -> str:
         """
-        Fold one record that builds on the newest of its subject, and give the reason against it.
+        Fold a record based on the current revision of its subject, and return the reason for its
+        rejection.
         """
         base = self.fold.position.revisions.get(subject, 0)
         return self.write_on(base, writer, kind, subject, **body)
 
     def write_on(self, base: int, writer: str, kind: str, subject: str, **body: object) -> str:
         """
-        Fold one record that builds on a given revision.
+        Fold a record based on a given revision, and return the reason for its rejection.
         """
         self.sequences[writer] = self.sequences.get(writer, 0) + 1
         record = Record(RecordId(writer, 1, self.sequences[writer]), kind, subject, base, body)
@@ -49,7 +50,7 @@
 
     def move(self, writer: str, kind: str, instance: str, **body: object) -> str:
         """
-        Fold one record of an instance's moves under the claim of now.
+        Fold a record about moves of an instance under the current claim.
         """
         claim = self.fold.pools.claims["fleet"].offset
         fields = {"claim": claim, "down": [], "purpose": "move", **body}
@@ -58,7 +59,7 @@
 
 def make_log() -> FoldedLog:
     """
-    Give two services of three instances each and a spare pool, under controller c1.
+    Build two services of three instances each and a spare pool, controlled by c1.
     """
     log = FoldedLog()
     document = {
@@ -90,7 +91,7 @@
 
 
 def test_an_instance_changes_its_pool_once_it_has_left(log: FoldedLog) -> None:
-    """A move keeps an instance in its old pool until it has drained, and in the new one after."""
+    """An instance stays in its old pool until it has drained and then belongs to the new one."""
     entry = log.fold.pools.instances["spare0"]
     assert log.move("c1", "move.started", "spare0", target="fleet/x") == ""
     assert (entry.pool, entry.step) == ("fleet/spare", DRAINING)
@@ -103,8 +104,8 @@
     assert log.fold.pools.moving == {}
 
 
-def test_a_replaced_controller_can_not_go_on(log: FoldedLog) -> None:
-    """Once another controller has claimed the shard, the steps of the first are rejected."""
+def test_a_replaced_controller_can_not_continue(log: FoldedLog) -> None:
+    """Once another controller has claimed the shard, steps of the previous one are rejected."""
     assert log.move("c1", "move.started", "spare0", target="fleet/x") == ""
     old = log.fold.pools.claims["fleet"].offset
     assert log.write("c2", "controller.claimed", "controller/fleet", shard="fleet") == ""
@@ -114,13 +115,13 @@
 
 
 def test_only_a_holder_of_a_lease_claims_a_shard(log: FoldedLog) -> None:
-    """An instance that the log does not know as alive can't become a controller."""
+    """An instance without a lease in the log can't become a controller."""
     reason = log.write("c9", "controller.claimed", "controller/fleet", shard="fleet")
     assert reason == "not_the_controller"
 
 
-def test_the_fold_keeps_the_budget(log: FoldedLog) -> None:
-    """A second stop in a service is rejected, whoever is down, and so is one too many failures."""
+def test_the_fold_enforces_the_budget(log: FoldedLog) -> None:
+    """A second stop, or a stop while another instance is down, is rejected as over the budget."""
     assert log.move("c1", "move.started", "x0", target="fleet/x") == ""
     assert log.move("c1", "move.started", "x1", target="fleet/x") == "over_budget"
     down = ["y2"]
@@ -128,21 +129,21 @@
     assert log.move("c1", "move.started", "y2", target="fleet/y", down=down) == ""
 
 
-def test_racing_wishes_have_one_winner(log: FoldedLog) -> None:
-    """Of two operators and a planner that build on one revision, the first record wins."""
+def test_concurrent_requests_have_one_winner(log: FoldedLog) -> None:
+    """Of two requests on one revision the first one wins, and the planner has to follow it."""
     base = log.fold.position.revisions["move/spare0"]
-    wish = {"instance": "spare0", "author": "op", "comment": ""}
+    request = {"instance": "spare0", "author": "op", "comment": ""}
     subject = "move/spare0"
-    assert log.write_on(base, "o1", "move.requested", subject, pool="fleet/x", **wish) == ""
-    late = log.write_on(base, "o2", "move.requested", subject, pool="fleet/y", **wish)
+    assert log.write_on(base, "o1", "move.requested", subject, pool="fleet/x", **request) == ""
+    late = log.write_on(base, "o2", "move.requested", subject, pool="fleet/y", **request)
     assert late == "stale"
     planned = log.move("c1", "move.started", "spare0", target="fleet/y")
     assert planned == "operator_wants_other_pool"
     assert log.move("c1", "move.started", "spare0", target="fleet/x") == ""
 
 
-def test_pools_keep_their_sizes(log: FoldedLog) -> None:
-    """Moves in stop at the largest size, moves away at the budget, counting those under way."""
+def test_pools_keep_their_size_limits(log: FoldedLog) -> None:
+    """Moves respect the maximum size and the budget, both including the moves under way."""
     assert log.move("c1", "move.started", "x0", target="fleet/spare") == ""
     assert log.move("c1", "move.started", "spare0", target="fleet/y") == ""
     assert log.move("c1", "move.started", "spare1", target="fleet/y") == "pool_full"
@@ -153,7 +154,7 @@
 
 
 def test_a_drain_request_leads_to_the_spare_pool(log: FoldedLog) -> None:
-    """An operator's request to drain an instance lets it move to the spare pool only."""
+    """After an operator's request to drain an instance, it may only move to the spare pool."""
     request = {"instance": "y0", "author": "op", "comment": ""}
     assert log.write("op", "instance.drain_requested", "instance/y0", **request) == ""
     assert log.fold.pools.instances["y0"].wanted == "fleet/spare"
@@ -165,41 +166,41 @@
 
 def need(name: str, size: int, used: list[float], *, spare: bool = False) -> PoolNeed:
     """
-    Describe a pool of one to six instances.
+    Build a pool with a maximum size of six instances.
     """
-    least = 0 if spare else 1
-    return PoolNeed(name, "endpoint", least, 3, 6, spare, size, 5, used)
+    min_size = 0 if spare else 1
+    return PoolNeed(name, "endpoint", min_size, 3, 6, spare, size, 5, used)
 
 
 def test_instances_go_where_they_are_used_most() -> None:
-    """The spare helps the busiest pool first, and nothing moves once no move pays."""
+    """The spare instance moves to the busiest pool, and no move is planned without enough gain."""
     busy, calm = need("busy", 2, [0.9] * 6), need("calm", 2, [0.9, 0.9, 0.2, 0.0, 0.0, 0.0])
     spare = need("spare", 1, [], spare=True)
     moves = plan_moves([busy, calm, spare], Weights())
     assert moves[0] == ("spare", "busy")
-    settled = [busy._replace(size=6), calm, spare._replace(size=0)]
-    assert plan_moves(settled, Weights()) == []
+    balanced = [busy._replace(size=6), calm, spare._replace(size=0)]
+    assert plan_moves(balanced, Weights()) == []
 
 
 def test_small_gains_move_nothing() -> None:
-    """Two pools that are used almost alike don't exchange instances."""
+    """Two pools with almost the same utilization don't exchange instances."""
     left, right = need("left", 3, [0.50] * 6), need("right", 3, [0.55] * 6)
     assert plan_moves([left, right], Weights()) == []
 
 
 def test_the_forecast_counts_how_often_each_instance_is_used() -> None:
-    """Bursts that fill five instances for a fifth of the time make the fifth one used so often."""
+    """Bursts that use five instances a fifth of the time give the fifth one this utilization."""
     history = DemandHistory()
     for second in range(6000):
         add_samples(history, (5.0 if second % 10 < 2 else 0.1,), float(second))
-    parts = forecast_utilization(history, 1, 6)
-    assert parts == sorted(parts, reverse=True)
-    assert 0.12 < parts[4] < 0.21
-    assert parts[5] < 0.01 < 0.9 < parts[0]
+    fractions = forecast_utilization(history, 1, 6)
+    assert fractions == sorted(fractions, reverse=True)
+    assert 0.12 < fractions[4] < 0.21
+    assert fractions[5] < 0.01 < 0.9 < fractions[0]
 
 
-def test_load_is_summed_up_as_quantiles() -> None:
-    """A burst of a fifth of the time is the highest level, and samples without load count too."""
+def test_load_is_summarized_as_quantiles() -> None:
+    """A burst in a fifth of the samples is the highest quantile, and samples without load count."""
     assert quantiles_of([], 0) == (0.0,) * QUANTILE_COUNT
     assert quantiles_of([50, 40, 45, 55], 20) == (0.0, 0.0, 0.0, 0.0, 50)
     assert quantiles_of([3] * 20, 20) == (3,) * QUANTILE_COUNT
