--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fleet_view.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fleet_view.py
@@ -42,9 +42,9 @@
     :param state: state of this entry instance.
     :returns: ids of instances in the folded state; all of them while the inventory is too old.
     """
-    memo = state.fleet.down_cache
-    if memo.at_s == state.now_s and memo.next_offset == state.fold.position.next_offset:
-        return memo.names
+    cache = state.fleet.down_cache
+    if cache.at_s == state.now_s and cache.next_offset == state.fold.position.next_offset:
+        return cache.names
     names = _find_down(state)
     state.fleet.down_cache = DownCache(state.now_s, state.fold.position.next_offset, names)
     return names
@@ -78,8 +78,8 @@
         if state.now_s - report.at_s <= REPORT_VALID_S:
             for row in report.rows:
                 sums = quantiles.setdefault(row.service, [0] * QUANTILE_COUNT)
-                for number, units in enumerate(row.quantiles[:QUANTILE_COUNT]):
-                    sums[number] += units
+                for index, count in enumerate(row.quantiles[:QUANTILE_COUNT]):
+                    sums[index] += count
     return quantiles
 
 
@@ -90,7 +90,7 @@
     fleet = state.fleet
     if state.now_s - fleet.inventory_read_s >= INVENTORY_READ_EVERY_S:
         fleet.inventory_read_s = state.now_s
-        yield from _read_fleet(state)
+        yield from _read_inventory(state)
     if state.now_s - fleet.load_sampled_s >= LOAD_SAMPLE_EVERY_S:
         fleet.load_sampled_s = state.now_s
         _sample_load(state)
@@ -126,7 +126,7 @@
     yield from ()
 
 
-def _read_fleet(state: State) -> Iterator[object]:
+def _read_inventory(state: State) -> Iterator[object]:
     owned = tuple(owned_shards(state))
     inventory = state.fleet.inventory
     if owned != inventory.shards:
@@ -150,9 +150,9 @@
     for instance, shards in _other_controllers(state).items():
         peer = state.membership.peers.get(instance)
         services = {p.service for shard in shards for p in pools_of(state.fold, shard).values()}
-        wanted = tuple(row for row in rows if row.service in services)
-        if peer is not None and wanted:
-            yield SendPeer(peer.peer_address, ServiceLoadReported(wanted))
+        relevant_rows = tuple(row for row in rows if row.service in services)
+        if peer is not None and relevant_rows:
+            yield SendPeer(peer.peer_address, ServiceLoadReported(relevant_rows))
 
 
 def _other_controllers(state: State) -> dict[str, list[str]]:
@@ -166,10 +166,10 @@
 def _sample_load(state: State) -> None:
     fleet = state.fleet
     fleet.load_samples += 1
-    units = Counter(attempt.request.service for attempt in state.requests.attempts.values())
+    counts = Counter(attempt.request.service for attempt in state.requests.attempts.values())
     for name, service in state.fair.services.items():
-        units[name] += sum(len(team.urgent) + len(team.normal) for team in service.teams.values())
-    for name, count in units.items():
+        counts[name] += sum(len(team.urgent) + len(team.normal) for team in service.teams.values())
+    for name, count in counts.items():
         if count > 0:
             fleet.load_counts.setdefault(name, []).append(count)
 
@@ -177,7 +177,9 @@
 def _take_load_rows(state: State) -> tuple[ServiceLoad, ...]:
     fleet = state.fleet
     rows = tuple(
-        ServiceLoad(name, tuple(int(level) for level in quantiles_of(counts, fleet.load_samples)))
+        ServiceLoad(
+            name, tuple(int(quantile) for quantile in quantiles_of(counts, fleet.load_samples))
+        )
         for name, counts in sorted(fleet.load_counts.items())
     )
     fleet.load_samples, fleet.load_counts = 0, {}
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_maintenance.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_maintenance.py
@@ -40,7 +40,7 @@
 # Time after a stop during which a failure of the instance is attributed to the round.
 STOP_WATCH_S = 300.0
 FAILED_ATTEMPTS = 2
-# Maximum delay after a reboot until the inventory reflects it.
+# Time after a reboot in which the inventory may not reflect it yet.
 INVENTORY_LAG_S = 5.0
 # Numbers of failures that pause a round: of stopped instances, and of others in one rack or zone.
 RELATED_STOPS = 2
@@ -122,8 +122,8 @@
     :param entry: the instance.
     :returns: seconds on the platform's clock, 0 before the first inventory.
     """
-    seen = state.fleet.inventory.instances.get(name)
-    booted_at_s = max(entry.booted_at_s, 0.0 if seen is None else seen.booted_at_s)
+    observed = state.fleet.inventory.instances.get(name)
+    booted_at_s = max(entry.booted_at_s, 0.0 if observed is None else observed.booted_at_s)
     return max(0.0, platform_now_s(state) - booted_at_s)
 
 
@@ -275,7 +275,7 @@
 def _stoppable_instances(
     state: State, members: list[str], down: frozenset[str]
 ) -> Iterator[tuple[str, bool]]:
-    able = [
+    candidates = [
         (-boot_age_s(state, name, entry), name, entry)
         for name, entry in ((name, state.fold.pools.instances[name]) for name in members)
         if entry.step == IN_SERVICE
@@ -283,7 +283,7 @@
         and name not in down
         and not is_backing_off(state, name)
     ]
-    for _, name, entry in sorted(able, key=lambda item: item[:2]):
+    for _, name, entry in sorted(candidates, key=lambda item: item[:2]):
         yield name, is_due(state, name, entry)
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_moves.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_moves.py
@@ -7,7 +7,8 @@
 brought into service in its new one.
 
 A drain that doesn't end is never forced. After `drain_limit_s` it is cancelled and retried with an
-exponential backoff. After `STUCK_AFTER` such drains in a row, operators see the instance as stuck.
+exponential backoff. After `STUCK_AFTER_DRAINS` such drains in a row, operators see the instance as
+stuck.
 """
 
 from collections.abc import Iterator
@@ -47,7 +48,7 @@
 DRAIN_LIMIT_DEFAULT_S = 900.0
 DRAIN_BACKOFF_S = 600.0
 MAX_DRAIN_BACKOFF_S = 86_400.0
-STUCK_AFTER = 3
+STUCK_AFTER_DRAINS = 3
 
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
@@ -80,8 +81,8 @@
     if event.action == REBOOT:
         progress.is_rebooted = True
         progress.sent_s = float("-inf")
-    wanted = DRAIN if entry.step == DRAINING else JOIN
-    progress.is_acknowledged = progress.is_acknowledged or event.action == wanted
+    last_action = DRAIN if entry.step == DRAINING else JOIN
+    progress.is_acknowledged = progress.is_acknowledged or event.action == last_action
     if shard_of(entry.pool) in owned_shards(state):
         yield from _advance_step(state, event.instance, entry)
 
@@ -103,13 +104,15 @@
 
 def stuck_instances(state: State) -> list[str]:
     """
-    Return the instances whose last `STUCK_AFTER` or more drains timed out.
+    Return the instances whose last `STUCK_AFTER_DRAINS` or more drains timed out.
 
     :param state: state of this entry instance.
     :returns: sorted ids.
     """
     drain_backoffs = state.fleet.drain_backoffs.items()
-    return sorted(name for name, backoff in drain_backoffs if backoff.failed_drains >= STUCK_AFTER)
+    return sorted(
+        name for name, backoff in drain_backoffs if backoff.failed_drains >= STUCK_AFTER_DRAINS
+    )
 
 
 def _advance_step(state: State, name: str, entry: FleetInstance) -> Iterator[object]:
@@ -195,11 +198,11 @@
 def _shares_budget(state: State, entry: FleetInstance, other: FleetInstance) -> bool:
     if entry.pool == other.pool:
         return True
-    left = pools_of(state.fold, shard_of(entry.pool)).get(entry.pool)
-    right = pools_of(state.fold, shard_of(other.pool)).get(other.pool)
-    if left is None or right is None or not left.service:
+    own_pool = pools_of(state.fold, shard_of(entry.pool)).get(entry.pool)
+    other_pool = pools_of(state.fold, shard_of(other.pool)).get(other.pool)
+    if own_pool is None or other_pool is None or not own_pool.service:
         return False
-    return left.service == right.service
+    return own_pool.service == other_pool.service
 
 
 def _propose_step(state: State, kind: str, name: str, entry: FleetInstance) -> Iterator[object]:
--- a/packages/eelgrassdrum-core/tests/test_pools.py
+++ b/packages/eelgrassdrum-core/tests/test_pools.py
@@ -121,7 +121,7 @@
 
 
 def test_the_fold_enforces_the_budget(log: FoldedLog) -> None:
-    """A second stop, or a stop while another instance is down, is rejected as over the budget."""
+    """A second stop, or one besides a down instance, is rejected, but the down one may stop."""
     assert log.move("c1", "move.started", "x0", target="fleet/x") == ""
     assert log.move("c1", "move.started", "x1", target="fleet/x") == "over_budget"
     down = ["y2"]
