--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_maintenance.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_maintenance.py
@@ -1,14 +1,15 @@
 """
-Carries maintenance on: stops what is due within the budgets, and pauses when failures look related.
+Control of maintenance rounds: stops due instances within the availability budgets, and pauses a
+round when failures look related.
 
-Every move of an instance reboots it, so an instance is due by the age of its last boot, or when it
-has not been rebooted since a round began.
+Every move of an instance reboots it, so an instance is due when its last boot is too long ago, or
+when it has not been rebooted since the round began.
 """
 
 from collections import Counter
 from collections.abc import Iterator
 
-from ._controllers import ask_record, claim_of, owned_shards
+from ._controllers import claim_of, owned_shards, propose_record
 from ._effects import WriteLog
 from ._events import Ticked
 from ._fleet_messages import (
@@ -20,58 +21,58 @@
     maintenance_subject,
 )
 from ._fleet_state import NEVER_S, KnownFailures
-from ._fleet_view import down_instances, is_fresh, platform_now_s
+from ._fleet_view import down_instances, is_inventory_fresh, platform_now_s
 from ._handlers import HandlerTable
 from ._maintenance_fold import PAUSE, Round
-from ._pools import FleetInstance, arriving, departing, pools_of, shard_of
+from ._pools import FleetInstance, count_arriving, count_departing, pools_of, shard_of
 from ._pools_budget import budget_of
 from ._pools_config import Pool
-from ._pools_control import is_paused, start_move, weights_of
+from ._pools_control import is_backing_off, start_move, weights_of
 from ._state import State
-from ._waves_planner import BudgetRoom, WaveInstance, WavePool, WaveView, plan_wave
+from ._waves_planner import WaveBudget, WaveInstance, WavePool, WaveView, plan_wave
 
 PERIOD_S = 14 * 86_400.0
-# Part of the period after which an instance is due, so that the rest is left for the work.
-DUE_AFTER = 0.7
+# Fraction of the period after which an instance is due. The rest is the time to carry out the work.
+DUE_FRACTION = 0.7
 PLAN_EVERY_S = 5.0
-# Keeps a large round from filling the log with records.
+# Limits the rate at which a large round appends records to the log.
 STOPS_PER_PLAN = 50
-# Time after a stop during which a failure of the instance is held against the round.
-WATCH_S = 300.0
-FAILED_TRIES = 2
-# Time after a reboot until the inventory shows it.
-SETTLE_S = 5.0
-# Failures from which a round is paused: of stopped instances, and of others in one rack or zone.
+# Time after a stop during which a failure of the instance is attributed to the round.
+STOP_WATCH_S = 300.0
+FAILED_ATTEMPTS = 2
+# Time after a reboot in which the inventory may not reflect it yet.
+INVENTORY_LAG_S = 5.0
+# Numbers of failures that pause a round: of stopped instances, and of others in one rack or zone.
 RELATED_STOPS = 2
 RELATED_IN_RACK = 2
 RELATED_IN_ZONE = 3
-# Part of a zone's instances that must be down in a large zone.
+# In a large zone, the fraction of its instances that must be down to pause a round.
 RELATED_ZONE_SHARE = 0.02
-CONTROLLER = "controller"
+CONTROLLER_AUTHOR = "controller"
 
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Plan the maintenance of each shard that is controlled here when its turn has come.
+    Plan the maintenance of each controlled shard at its interval.
     """
-    if state.stopping or not state.log.available or not is_fresh(state):
+    if state.stopping or not state.log.available or not is_inventory_fresh(state):
         return
     for shard in owned_shards(state):
-        planned_s = state.fleet.maintained_s.get(shard, NEVER_S)
+        planned_s = state.fleet.maintenance_planned_s.get(shard, NEVER_S)
         if state.now_s - planned_s >= PLAN_EVERY_S:
-            state.fleet.maintained_s[shard] = state.now_s
+            state.fleet.maintenance_planned_s[shard] = state.now_s
             yield from maintain_shard(state, shard)
 
 
 def maintain_shard(state: State, shard: str) -> Iterator[object]:
     """
-    Ask for the stops of a shard that are due now, or for a pause.
+    Propose the stops of a shard that are due now, or a pause of the round.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param shard: name of the document.
     :returns: the effects.
     """
-    _note_stops(state, shard)
+    _track_stops(state, shard)
     current = round_of(state, shard)
     if current.is_paused:
         return
@@ -89,9 +90,9 @@
 
 def round_of(state: State, shard: str) -> Round:
     """
-    Give the maintenance round of a shard.
+    Return the maintenance round of a shard.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param shard: name of the document.
     :returns: the round.
     """
@@ -100,43 +101,43 @@
 
 def is_due(state: State, name: str, entry: FleetInstance) -> bool:
     """
-    Tell whether an instance is to be maintained.
+    Return whether an instance is due for maintenance.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param name: id of the instance.
     :param entry: the instance.
-    :returns: whether the round has not reached it, or its last boot is long ago.
+    :returns: whether the current round has not rebooted it yet, or its last boot is too long ago.
     """
     if entry.booted_offset < round_of(state, shard_of(entry.pool)).offset:
         return True
-    return age_s(state, name, entry) >= PERIOD_S * DUE_AFTER
+    return boot_age_s(state, name, entry) >= PERIOD_S * DUE_FRACTION
 
 
-def age_s(state: State, name: str, entry: FleetInstance) -> float:
+def boot_age_s(state: State, name: str, entry: FleetInstance) -> float:
     """
-    Give the time since the last boot of an instance.
+    Return the time since the last boot of an instance.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param name: id of the instance.
     :param entry: the instance.
-    :returns: seconds of the platform's time, 0 before an inventory was read.
+    :returns: seconds on the platform's clock, 0 before the first inventory.
     """
-    seen = state.fleet.observation.instances.get(name)
-    booted_at_s = max(entry.booted_at_s, 0.0 if seen is None else seen.booted_at_s)
+    observed = state.fleet.inventory.instances.get(name)
+    booted_at_s = max(entry.booted_at_s, 0.0 if observed is None else observed.booted_at_s)
     return max(0.0, platform_now_s(state) - booted_at_s)
 
 
 def view_of(state: State, shard: str, down: frozenset[str]) -> WaveView:
     """
-    Describe a shard for the planner of waves.
+    Build the input of the wave planner for a shard.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param shard: name of the document.
-    :param down: instances that are down or unseen.
-    :returns: plain data.
+    :param down: ids of instances that are down or missing from the inventory.
+    :returns: the input of the planner, as plain data.
     """
     pools = pools_of(state.fold, shard).values()
-    budgets: dict[str, BudgetRoom] = {}
+    budgets: dict[str, WaveBudget] = {}
     for pool in pools:
         _add_budget(state, budgets, pool, down)
     wave_pools = tuple(_wave_pool(state, pool, down) for pool in pools)
@@ -145,15 +146,15 @@
 
 def related_failures(state: State, shard: str, down: frozenset[str]) -> str:
     """
-    Look for failures that may have one cause.
+    Look for failures that may have a common cause.
 
-    :param state: the state.
+    :param state: state of this entry instance.
     :param shard: name of the document.
-    :param down: instances that are down or unseen.
-    :returns: what was found, or an empty text.
+    :param down: ids of instances that are down or missing from the inventory.
+    :returns: a description of the failures, or an empty string.
     """
     instances = state.fold.pools.instances
-    new = _settled(state, down) - _known_failures(state, shard, down)
+    new = _without_recent_reboots(state, down) - _known_failures(state, shard, down)
     stopped = _failed_stops(state, shard, new)
     if len(stopped) >= RELATED_STOPS:
         return f"{len(stopped)} maintained instances failed: {', '.join(stopped)}"
@@ -172,18 +173,18 @@
     return ""
 
 
-def _settled(state: State, down: frozenset[str]) -> frozenset[str]:
+def _without_recent_reboots(state: State, down: frozenset[str]) -> frozenset[str]:
     """
-    Leave out instances that the inventory can't yet show as back from their reboot.
+    Exclude instances whose recovery from a reboot the inventory can't reflect yet.
     """
     instances = state.fold.pools.instances
-    until_s = state.fleet.observation.at_s - SETTLE_S
+    until_s = state.fleet.inventory.at_s - INVENTORY_LAG_S
     return frozenset(name for name in down if instances[name].booted_at_s <= until_s)
 
 
 def _known_failures(state: State, shard: str, down: frozenset[str]) -> frozenset[str]:
     """
-    Give the failures that were there at the last order, which its operator has accepted.
+    Return the failures that already existed at the last order, which its operator has accepted.
     """
     order = state.fold.position.revisions.get(maintenance_subject(shard), 0)
     known = state.fleet.known_failures.get(shard)
@@ -195,46 +196,46 @@
 def _failed_stops(state: State, shard: str, down: frozenset[str]) -> list[str]:
     fleet = state.fleet
     failed = []
-    for name in fleet.stopped_s:
+    for name in fleet.last_stopped_s:
         entry = state.fold.pools.instances.get(name)
         if entry is None or shard_of(entry.pool) != shard:
             continue
         progress = fleet.progress.get(name)
-        is_failing = progress is not None and progress.failures >= FAILED_TRIES
+        is_failing = progress is not None and progress.failures >= FAILED_ATTEMPTS
         if is_failing or (entry.step == IN_SERVICE and name in down):
             failed.append(name)
     return sorted(failed)
 
 
-def _note_stops(state: State, shard: str) -> None:
+def _track_stops(state: State, shard: str) -> None:
     """
-    Remember which instances are stopped for maintenance, or were until a while ago.
+    Track which instances are stopped for maintenance or were within the last `STOP_WATCH_S`.
     """
     fleet, instances = state.fleet, state.fold.pools.instances
     for name in state.fold.pools.moving:
         entry = instances[name]
         if entry.purpose == PURPOSE_MAINTENANCE and shard_of(entry.pool) == shard:
-            fleet.stopped_s[name] = state.now_s
-    for name, at_s in list(fleet.stopped_s.items()):
-        if name not in instances or state.now_s - at_s > WATCH_S:
-            del fleet.stopped_s[name]
+            fleet.last_stopped_s[name] = state.now_s
+    for name, at_s in list(fleet.last_stopped_s.items()):
+        if name not in instances or state.now_s - at_s > STOP_WATCH_S:
+            del fleet.last_stopped_s[name]
 
 
 def _pause(state: State, shard: str, reason: str) -> Iterator[object]:
     body = {
         "shard": shard,
         "action": PAUSE,
-        "author": CONTROLLER,
+        "author": CONTROLLER_AUTHOR,
         "reason": reason,
         "claim": claim_of(state, shard),
     }
-    state.fleet.stopped_s.clear()
+    state.fleet.last_stopped_s.clear()
     yield WriteLog("maintenance.paused", {"shard": shard, "reason": reason})
-    yield from ask_record(state, MAINTENANCE_ORDERED, maintenance_subject(shard), body)
+    yield from propose_record(state, MAINTENANCE_ORDERED, maintenance_subject(shard), body)
 
 
 def _add_budget(
-    state: State, budgets: dict[str, BudgetRoom], pool: Pool, down: frozenset[str]
+    state: State, budgets: dict[str, WaveBudget], pool: Pool, down: frozenset[str]
 ) -> None:
     instances = state.fold.pools.instances
     away = [
@@ -244,10 +245,10 @@
     ]
     name = pool.service or pool.name
     known = budgets.get(name)
-    room = budget_of(state.fold, pool, down).room if known is None else known.room
+    headroom = budget_of(state.fold, pool, down).headroom if known is None else known.headroom
     under_way = len(away) + (0 if known is None else known.under_way)
     zones = tuple(entry.zone for entry in away) + (() if known is None else known.zones)
-    budgets[name] = BudgetRoom(room, under_way, zones)
+    budgets[name] = WaveBudget(headroom, under_way, zones)
 
 
 def _wave_pool(state: State, pool: Pool, down: frozenset[str]) -> WavePool:
@@ -255,9 +256,9 @@
     members = fold.members.get(pool.name, [])
     instances = [
         WaveInstance(name, fold.instances[name].zone, fold.instances[name].rack, due)
-        for name, due in _may_stop(state, members, down)
+        for name, due in _stoppable_instances(state, members, down)
     ]
-    size = len(members) + arriving(fold, pool.name) - departing(fold, pool.name)
+    size = len(members) + count_arriving(fold, pool.name) - count_departing(fold, pool.name)
     return WavePool(
         pool.name,
         pool.role,
@@ -271,16 +272,18 @@
     )
 
 
-def _may_stop(state: State, members: list[str], down: frozenset[str]) -> Iterator[tuple[str, bool]]:
-    able = [
-        (-age_s(state, name, entry), name, entry)
+def _stoppable_instances(
+    state: State, members: list[str], down: frozenset[str]
+) -> Iterator[tuple[str, bool]]:
+    candidates = [
+        (-boot_age_s(state, name, entry), name, entry)
         for name, entry in ((name, state.fold.pools.instances[name]) for name in members)
         if entry.step == IN_SERVICE
         and not entry.wanted
         and name not in down
-        and not is_paused(state, name)
+        and not is_backing_off(state, name)
     ]
-    for _, name, entry in sorted(able, key=lambda item: item[:2]):
+    for _, name, entry in sorted(candidates, key=lambda item: item[:2]):
         yield name, is_due(state, name, entry)
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_fold.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_pools_fold.py
@@ -1,5 +1,5 @@
 """
-What records of controllers, instances and operators' wishes mean.
+Applies records of shard controllers, of instances and of operators' requests to the folded state.
 """
 
 from collections.abc import Callable
@@ -34,22 +34,22 @@
     find_pool,
     pools_of,
     put_in_pool,
+    remove_from_pool,
     shard_of,
-    take_out_of_pool,
 )
 from ._records import Record
 
 
 def apply_claim(fold: FoldView, offset: int, record: Record) -> str:
     """
-    Give a shard to a controller.
+    Make the writer of the record the controller of a shard.
 
-    :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param fold: the folded state, modified in place.
+    :param offset: offset of the record in the log.
     :param record: a ``controller.claimed`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason for rejecting the record, or an empty string.
     """
-    body = records.read(record, ClaimBody)
+    body = records.read_body(record, ClaimBody)
     if body is None or record.subject != controller_subject(body.shard):
         return REASON_INVALID_MOVE
     holder = fold.allowances.holders.get(record.id.writer)
@@ -61,14 +61,14 @@
 
 def apply_added(fold: FoldView, offset: int, record: Record) -> str:
     """
-    Take a new instance into a pool.
+    Add a new instance to a pool.
 
-    :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param fold: the folded state, modified in place.
+    :param offset: offset of the record in the log.
     :param record: an ``instance.added`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason for rejecting the record, or an empty string.
     """
-    body = records.read(record, AddedBody)
+    body = records.read_body(record, AddedBody)
     if body is None or record.subject != move_subject(body.instance):
         return REASON_INVALID_MOVE
     if body.instance in fold.pools.instances:
@@ -86,20 +86,20 @@
 
 def apply_removed(fold: FoldView, offset: int, record: Record) -> str:
     """
-    Forget an instance that the platform no longer has.
+    Remove an instance that the platform no longer has.
 
-    :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param fold: the folded state, modified in place.
+    :param offset: offset of the record in the log.
     :param record: an ``instance.removed`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason for rejecting the record, or an empty string.
     """
-    body = records.read(record, StepBody)
-    entry = None if body is None else records.entry(fold, record, body.instance)
+    body = records.read_body(record, StepBody)
+    entry = None if body is None else records.find_instance(fold, record, body.instance)
     if body is None or entry is None:
         return REASON_INVALID_MOVE
     if not records.holds_claim(fold, record, entry.pool, body.claim):
         return REASON_NOT_CONTROLLER
-    take_out_of_pool(fold.pools, body.instance)
+    remove_from_pool(fold.pools, body.instance)
     fold.pools.moving.pop(body.instance, None)
     del fold.pools.instances[body.instance]
     return ""
@@ -107,20 +107,20 @@
 
 def apply_requested(fold: FoldView, offset: int, record: Record) -> str:
     """
-    Note the pool that an operator wants an instance in; its controller starts the move.
+    Record the destination pool that an operator requests; the controller then starts the move.
 
-    :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param fold: the folded state, modified in place.
+    :param offset: offset of the record in the log.
     :param record: a ``move.requested`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason for rejecting the record, or an empty string.
     """
-    body = records.read(record, RequestedBody)
-    entry = None if body is None else records.entry(fold, record, body.instance)
+    body = records.read_body(record, RequestedBody)
+    entry = None if body is None else records.find_instance(fold, record, body.instance)
     if body is None or entry is None:
         return REASON_INVALID_MOVE
     if entry.step != IN_SERVICE:
         return REASON_WRONG_STEP
-    if body.pool and not records.is_way(fold, entry.pool, body.pool):
+    if body.pool and not records.can_move(fold, entry.pool, body.pool):
         return REASON_UNKNOWN_POOL
     entry.wanted = body.pool if body.pool != entry.pool else ""
     return ""
@@ -128,14 +128,14 @@
 
 def apply_drain_request(fold: FoldView, offset: int, record: Record) -> str:
     """
-    Note that an operator wants an instance in the spare pool.
+    Record the request of an operator to move an instance to the spare pool.
 
-    :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param fold: the folded state, modified in place.
+    :param offset: offset of the record in the log.
     :param record: an ``instance.drain_requested`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason for rejecting the record, or an empty string.
     """
-    body = records.read(record, DrainBody)
+    body = records.read_body(record, DrainBody)
     entry = None if body is None else fold.pools.instances.get(body.instance)
     if body is None or entry is None or record.subject != f"instance/{body.instance}":
         return REASON_INVALID_MOVE
@@ -143,7 +143,7 @@
         return REASON_WRONG_STEP
     pools = pools_of(fold, shard_of(entry.pool)).values()
     spares = [
-        pool.name for pool in pools if pool.spare and records.is_way(fold, entry.pool, pool.name)
+        pool.name for pool in pools if pool.spare and records.can_move(fold, entry.pool, pool.name)
     ]
     if not spares:
         return REASON_NO_SPARE
