--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_admission.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_admission.py
@@ -7,7 +7,7 @@
 from . import (
     _endpoints,
     _fair,
-    _fair_room,
+    _fair_eviction,
     _freshness,
     _joins,
     _joins_claims,
@@ -31,7 +31,7 @@
 NO_ENDPOINT_RETRY_S = 1.0
 NOT_READY_RETRY_S = 1.0
 STOPPING_RETRY_S = 0.1
-LATE_ARRIVAL_S = 0.25
+MAX_UNNOTICED_PAUSE_S = 0.25
 
 
 def on_request(state: State, event: RequestReceived) -> Iterator[object]:
@@ -49,22 +49,22 @@
     if isinstance(team, RefusalCode):
         yield _refuse(state, event, Refusal(team))
         return
-    if event.credential is not None and not _may_take_key(state, team):
+    if event.credential is not None and not _may_accept_key(state, team):
         if queue.keyed:
             yield _refuse(state, event, _freshness.refuse_unverified(state))
             return
         team = f"{queue.workspace}/{OPEN_TEAM}"
-    key = hash_request(_scope(queue, team, event), event.request_id)
+    key = hash_request(_request_scope(queue, team, event), event.request_id)
     known = state.joins.known.get(key)
     if known is not None:
         yield from _joins.join(state, known, event)
         return
-    yield from _make_room(state, queue, team, event)
+    yield from _evict_for(state, queue, team, event)
     refusal = _refuse_load(state, queue, team, event)
     if refusal is not None:
         yield _refuse(state, event, refusal)
         return
-    yield from _take(state, _make_request(state, queue, team, key, event))
+    yield from _accept(state, _make_request(state, queue, team, key, event))
 
 
 def on_claimed(state: State, event: RequestClaimed) -> Iterator[object]:
@@ -83,12 +83,12 @@
     known = state.joins.known.get(event.req.key)
     if known is None or known.req is not event.req:
         return
-    _overload.count_held(state, -event.req.size_bytes)
+    _overload.add_held_bytes(state, -event.req.size_bytes)
     yield from _joins.refuse_unclaimed(state, event.req, event.refusal)
 
 
-def _take(state: State, req: Request) -> Iterator[object]:
-    _overload.count_held(state, req.size_bytes)
+def _accept(state: State, req: Request) -> Iterator[object]:
+    _overload.add_held_bytes(state, req.size_bytes)
     _joins.remember(state, req)
     if req.idempotent:
         yield Emit(RequestClaimed(req))
@@ -98,7 +98,7 @@
 
 def _refuse(state: State, event: RequestReceived, refusal: Refusal) -> Refuse:
     # After a pause the request may have waited here unseen, and a repeat run elsewhere.
-    is_late = _membership.pause_s(state) > LATE_ARRIVAL_S
+    is_late = _membership.pause_s(state) > MAX_UNNOTICED_PAUSE_S
     told = _refusals.for_repeat(refusal) if event.repeat or is_late else refusal
     return Refuse(event.token, told)
 
@@ -118,25 +118,25 @@
     return key.team
 
 
-def _scope(queue: Queue, team: str, event: RequestReceived) -> str:
+def _request_scope(queue: Queue, team: str, event: RequestReceived) -> str:
     # On a queue open to all, a key counts for its team at one instance and not at another.
     if queue.keyed or event.credential is None:
         return team
     return f"{queue.workspace} {event.credential.digest}"
 
 
-def _may_take_key(state: State, team: str) -> bool:
+def _may_accept_key(state: State, team: str) -> bool:
     return _freshness.keyed_work_allowed(state, state.fold.config.teams[team])
 
 
-def _make_room(state: State, queue: Queue, team: str, event: RequestReceived) -> Iterator[object]:
+def _evict_for(state: State, queue: Queue, team: str, event: RequestReceived) -> Iterator[object]:
     refusal = _refuse_load(state, queue, team, event)
     if refusal is None or refusal.code != _refusals.QUEUE_FULL:
         return
-    excess = _fair_room.take_excess(state.fair, queue.service, queue.name, team)
+    excess = _fair_eviction.evict_newest_excess(state.fair, queue.service, queue.name, team)
     if excess is not None:
         _overload.count_waiting(state, excess, -1)
-        _overload.count_held(state, -excess.size_bytes)
+        _overload.add_held_bytes(state, -excess.size_bytes)
         yield from _joins.refuse(state, excess, refusal)
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_balance.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_balance.py
@@ -23,7 +23,7 @@
 from ._allowance_state import TeamBalance
 from ._config import Team
 from ._effects import Emit
-from ._events import PeerReceived, RecordWanted, Ticked
+from ._events import PeerReceived, RecordProposed, Ticked
 from ._handlers import HandlerTable
 from ._limits import revision
 from ._state import State
@@ -34,12 +34,12 @@
 BALANCE_EVERY_S = 0.2
 # Time between two records of one team, and for the answers to a question.
 MOVE_EVERY_S = 1.0
-ASK_WAIT_S = 0.2
-ASK_AGAIN_S = 1.0
+CESSION_WAIT_S = 0.2
+CESSION_RETRY_S = 1.0
 # Time for which a second or third balancer waits for those before it.
-TAKE_OVER_S = 1.5
+TAKEOVER_DELAY_S = 1.5
 # Time after which units that nobody holds and nobody waits for are handed out.
-SPREAD_AFTER_S = 1.0
+ALLOCATE_SPARE_AFTER_S = 1.0
 RECORDS_PER_S = 2.0
 RECORDS_BURST = 10.0
 
@@ -58,7 +58,7 @@
     _refill_tokens(state, elapsed_s)
     if not state.log.available or state.limits.lease.until_s <= state.now_s:
         return
-    names = {*state.limits.balance.teams, *_unspread_teams(state)}
+    names = {*state.limits.balance.teams, *_unallocated_teams(state)}
     for name in sorted(names):
         team = state.fold.config.teams.get(name)
         order = demand.balancers(state, name)
@@ -77,22 +77,22 @@
     elif isinstance(message, CessionAsked):
         yield from demand.answer_cession(state, event.sender, message)
     elif isinstance(message, UnitsCeded):
-        _take_promises(state, holder_key(event.sender), message.rows)
+        _record_promises(state, holder_key(event.sender), message.rows)
 
 
-def fill_evenly(wants: Mapping[str, int], units: int) -> dict[str, int]:
+def split_max_min(demands: Mapping[str, int], units: int) -> dict[str, int]:
     """
     Split units so that the smallest part of those who want more is as large as it can be.
 
-    :param wants: units wanted by key.
+    :param demands: units wanted by key.
     :param units: units to split.
     :returns: units by key; their sum is at most what there is.
     """
-    parts = dict.fromkeys(wants, 0)
+    parts = dict.fromkeys(demands, 0)
     left = max(0, units)
-    open_keys = sorted((key for key, want in wants.items() if want > 0), key=lambda k: wants[k])
+    open_keys = sorted((key for key, want in demands.items() if want > 0), key=lambda k: demands[k])
     for index, key in enumerate(open_keys):
-        parts[key] = min(wants[key], -(-left // (len(open_keys) - index)))
+        parts[key] = min(demands[key], -(-left // (len(open_keys) - index)))
         left -= parts[key]
     return parts
 
@@ -103,49 +103,52 @@
     balance.tokens = min(RECORDS_BURST, balance.tokens + elapsed_s * RECORDS_PER_S)
 
 
-def _unspread_teams(state: State) -> list[str]:
+def _unallocated_teams(state: State) -> list[str]:
     teams = state.fold.allowances.teams
     names = []
     for name, team in state.fold.config.teams.items():
         allowance = teams.get(name)
-        if allowance is None or _unheld(team, allowance) > 0:
+        if allowance is None or _unallocated_units(team, allowance) > 0:
             names.append(name)
     return names
 
 
-def _unheld(team: Team, allowance: TeamAllowance) -> int:
+def _unallocated_units(team: Team, allowance: TeamAllowance) -> int:
     return team.limit - sum(allowance.held.values()) - sum(allowance.recovering.values())
 
 
 def _balance(state: State, team: Team, order: int) -> Iterator[object]:
     view = state.limits.balance.teams.setdefault(team.name, TeamBalance())
     allowance = state.fold.allowances.teams.get(team.name, TeamAllowance())
-    wants = _wants(state, view)
-    held = _usable(state, team, view, allowance)
-    targets = _targets(team, allowance, wants)
+    demands = _demand_by_holder(state, view)
+    held = _usable_by_holder(state, team, view, allowance)
+    targets = _targets(team, allowance, demands)
     gains = {
         key: targets[key] - held[key]
         for key in targets
-        if targets[key] > held[key] and wants[key] > held[key]
+        if targets[key] > held[key] and demands[key] > held[key]
     }
-    unheld = _unheld(team, allowance)
+    unheld = _unallocated_units(team, allowance)
     if not gains and unheld <= 0:
-        view.short_since_s = None
+        view.unbalanced_since_s = None
         return
-    if view.short_since_s is None:
-        view.short_since_s = state.now_s
-    wait_s = order * TAKE_OVER_S + (0.0 if gains else SPREAD_AFTER_S)
-    if state.now_s - view.short_since_s < wait_s or state.now_s - view.moved_at_s < MOVE_EVERY_S:
+    if view.unbalanced_since_s is None:
+        view.unbalanced_since_s = state.now_s
+    wait_s = order * TAKEOVER_DELAY_S + (0.0 if gains else ALLOCATE_SPARE_AFTER_S)
+    if (
+        state.now_s - view.unbalanced_since_s < wait_s
+        or state.now_s - view.moved_at_s < MOVE_EVERY_S
+    ):
         return
-    if gains and sum(gains.values()) > unheld and _must_wait(state, team, view, targets):
-        yield from _ask(state, team, view, targets)
-        if _must_wait(state, team, view, targets):
+    if gains and sum(gains.values()) > unheld and _awaits_promises(state, team, view, targets):
+        yield from _request_cessions(state, team, view, targets)
+        if _awaits_promises(state, team, view, targets):
             return
     is_capped = any(held[key] < allowance.held.get(key, 0) for key in gains)
-    yield from _move(state, team, view, targets, is_capped)
+    yield from _propose_move(state, team, view, targets, is_capped)
 
 
-def _wants(state: State, view: TeamBalance) -> dict[str, int]:
+def _demand_by_holder(state: State, view: TeamBalance) -> dict[str, int]:
     wants = {}
     for key in state.limits.balance.holders:
         heard = view.demands.get(key)
@@ -155,7 +158,7 @@
     return wants
 
 
-def _usable(
+def _usable_by_holder(
     state: State, team: Team, view: TeamBalance, allowance: TeamAllowance
 ) -> dict[str, int]:
     current = revision(state, team.name)
@@ -168,56 +171,58 @@
     return usable
 
 
-def _targets(team: Team, allowance: TeamAllowance, wants: dict[str, int]) -> dict[str, int]:
+def _targets(team: Team, allowance: TeamAllowance, demands: dict[str, int]) -> dict[str, int]:
     units = team.limit - sum(allowance.recovering.values())
-    wanted = fill_evenly(wants, units)
+    wanted = split_max_min(demands, units)
     spare = units - sum(wanted.values())
-    base, extra = divmod(max(0, spare), max(1, len(wants)))
+    base, extra = divmod(max(0, spare), max(1, len(demands)))
     # Odd units go to holders in the order of their demand, the largest first.
-    order = sorted(wants, key=lambda key: (-wants[key], key))
+    order = sorted(demands, key=lambda key: (-demands[key], key))
     return {key: wanted[key] + base + (place < extra) for place, key in enumerate(order)}
 
 
-def _givers(state: State, team: Team, targets: Mapping[str, int]) -> list[str]:
+def _holders_above_target(state: State, team: Team, targets: Mapping[str, int]) -> list[str]:
     allowance = state.fold.allowances.teams.get(team.name, TeamAllowance())
     return [key for key, units in allowance.held.items() if units > targets.get(key, 0)]
 
 
-def _must_wait(state: State, team: Team, view: TeamBalance, targets: Mapping[str, int]) -> bool:
+def _awaits_promises(
+    state: State, team: Team, view: TeamBalance, targets: Mapping[str, int]
+) -> bool:
     if view.asked_revision != revision(state, team.name):
         return True
-    answered = all(key in view.ceded for key in _givers(state, team, targets))
-    return not answered and state.now_s - view.asked_at_s < ASK_WAIT_S
+    answered = all(key in view.ceded for key in _holders_above_target(state, team, targets))
+    return not answered and state.now_s - view.asked_at_s < CESSION_WAIT_S
 
 
-def _ask(
+def _request_cessions(
     state: State, team: Team, view: TeamBalance, targets: Mapping[str, int]
 ) -> Iterator[object]:
     current = revision(state, team.name)
     is_new = view.asked_revision != current
-    if not is_new and state.now_s - view.asked_at_s < ASK_AGAIN_S:
+    if not is_new and state.now_s - view.asked_at_s < CESSION_RETRY_S:
         return
     if is_new:
         view.ceded = {}
     view.asked_revision = current
     view.asked_at_s = state.now_s
     own_key = holder_key(state.identity.sender)
-    for key in _givers(state, team, targets):
+    for key in _holders_above_target(state, team, targets):
         row = TeamUnits(team.name, current, targets.get(key, 0))
         if key == own_key:
-            _take_promises(state, own_key, demand.cede(state, (row,)))
+            _record_promises(state, own_key, demand.cede(state, (row,)))
         else:
             yield from demand.send(state, key, CessionAsked((row,)))
 
 
-def _take_promises(state: State, key: str, rows: tuple[TeamUnits, ...]) -> None:
+def _record_promises(state: State, key: str, rows: tuple[TeamUnits, ...]) -> None:
     for row in rows:
         view = state.limits.balance.teams.get(row.team)
         if view is not None and view.asked_revision == row.revision:
             view.ceded[key] = min(row.units, view.ceded.get(key, row.units))
 
 
-def _move(
+def _propose_move(
     state: State, team: Team, view: TeamBalance, targets: Mapping[str, int], is_capped: bool
 ) -> Iterator[object]:
     current = revision(state, team.name)
@@ -229,9 +234,9 @@
         return
     state.limits.balance.tokens -= 1.0
     view.moved_at_s = state.now_s
-    view.short_since_s = None
+    view.unbalanced_since_s = None
     body: dict[str, object] = {"team": team.name, "held": changes}
-    yield Emit(RecordWanted(ALLOWANCE_MOVED, allowance_subject(team.name), current, body))
+    yield Emit(RecordProposed(ALLOWANCE_MOVED, allowance_subject(team.name), current, body))
 
 
 def _changes(
@@ -241,7 +246,7 @@
     new = {key: min(units, ceded.get(key, units)) for key, units in held.items()}
     pool = team.limit - sum(new.values()) - sum(allowance.recovering.values())
     gains = {key: max(0, units - new.get(key, 0)) for key, units in targets.items()}
-    for key, units in fill_evenly(gains, pool).items():
+    for key, units in split_max_min(gains, pool).items():
         new[key] = new.get(key, 0) + units
     return {key: units for key, units in new.items() if units != held.get(key, 0)}
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_demand.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_demand.py
@@ -16,7 +16,7 @@
 from ._allowance_state import HolderDemand, TeamBalance, UsageCap
 from ._effects import SendPeer
 from ._ids import Sender
-from ._limits import held_units, promised_units, revision
+from ._limits import capped_units, held_units, revision
 from ._state import State
 
 REPORT_EVERY_S = 0.2
@@ -26,7 +26,7 @@
 # Time in which a peak of demand falls to a half.
 PEAK_HALF_LIFE_S = 0.4
 # Peak below which there is no demand left.
-PEAK_FLOOR = 0.5
+MIN_PEAK = 0.5
 # Holders that may balance a team.
 BALANCERS = 3
 
@@ -87,7 +87,7 @@
         return
     balance.reported_at_s = state.now_s
     demand = _measure(state, elapsed_s)
-    rows = [row for row in demand if _is_news(state, row)]
+    rows = [row for row in demand if _should_report(state, row)]
     by_balancer: dict[str, list[TeamDemand]] = {}
     for row in rows:
         balance.reported[row.team] = HolderDemand(row, state.now_s)
@@ -177,16 +177,16 @@
         units = waiting.get(name, 0) + running.get(name, 0)
         held = 0 if team is None else held_units(state, team)
         peaks[name] = max(units, min(peaks.get(name, 0.0), held) * fade)
-        if peaks[name] < PEAK_FLOOR:
+        if peaks[name] < MIN_PEAK:
             del peaks[name]
         if team is not None:
             recent = min(round(peaks.get(name, 0.0)), held)
-            usable = promised_units(state, team)
+            usable = capped_units(state, team)
             rows.append(TeamDemand(name, revision(state, name), max(units, recent), usable))
     return rows
 
 
-def _is_news(state: State, row: TeamDemand) -> bool:
+def _should_report(state: State, row: TeamDemand) -> bool:
     last = state.limits.balance.reported.get(row.team)
     if last is None:
         return row.units > 0
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_fold.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_fold.py
@@ -53,12 +53,12 @@
 
     :param offset: record that fenced it.
     :param renewed_offset: its last accepted renewal.
-    :param lapsed: whether its lease had certainly ended by then.
+    :param expired: whether its lease had certainly ended by then.
     """
 
     offset: int
     renewed_offset: int
-    lapsed: bool
+    expired: bool
 
 
 class TeamAllowance(msgspec.Struct):
@@ -132,7 +132,7 @@
     allowances = fold.allowances
     current = allowances.holders.get(instance)
     if current is not None and current.incarnation != incarnation:
-        _fence(allowances, instance, offset, lapsed=False)
+        _fence(allowances, instance, offset, expired=False)
     key = f"{instance}:{incarnation}"
     allowances.fenced.pop(key, None)
     reclaimers = _choose_reclaimers(allowances, key, zone)
@@ -155,7 +155,7 @@
         return REASON_INVALID_ALLOWANCE
     if lease.incarnation != record.body.get("incarnation") or not _is_holder(fold, record):
         return REASON_NOT_HOLDER
-    _fence(fold.allowances, str(instance), offset, lapsed=True)
+    _fence(fold.allowances, str(instance), offset, expired=True)
     return ""
 
 
@@ -178,7 +178,7 @@
     for name, team in fold.allowances.teams.items():
         if key in team.held:
             team.held[key] = min(team.held[key], max(0, int(running.get(name, 0))))
-    _fence(fold.allowances, instance, offset, lapsed=True)
+    _fence(fold.allowances, instance, offset, expired=True)
     return ""
 
 
@@ -245,14 +245,14 @@
     return lease is not None and lease.incarnation == record.id.incarnation
 
 
-def _fence(allowances: AllowanceFold, instance: str, offset: int, *, lapsed: bool) -> None:
+def _fence(allowances: AllowanceFold, instance: str, offset: int, *, expired: bool) -> None:
     lease = allowances.holders.pop(instance)
     key = f"{instance}:{lease.incarnation}"
     for team in allowances.teams.values():
         units = team.held.pop(key, 0)
         if units > 0:
             team.recovering[key] = team.recovering.get(key, 0) + units
-    allowances.fenced[key] = FencedHolder(offset, lease.renewed_offset, lapsed)
+    allowances.fenced[key] = FencedHolder(offset, lease.renewed_offset, expired)
     _forget_settled(allowances, key)
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_lease.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_lease.py
@@ -23,7 +23,7 @@
     CapacityChanged,
     PeerReceived,
     RecordFolded,
-    RecordWanted,
+    RecordProposed,
     Ticked,
 )
 from ._handlers import HandlerTable
@@ -33,9 +33,9 @@
 LEASE_S = 30.0
 RENEW_AFTER_S = 10.0
 # The same for a holder that lacks reclaimers.
-RENEW_SOON_S = 1.0
+RENEW_UNPROTECTED_AFTER_S = 1.0
 # Time after which a renewal whose fate is open is wanted again.
-WANTED_VALID_S = 60.0
+RENEWAL_TIMEOUT_S = 60.0
 # Remaining lease below which a holder asks its reclaimers to wait.
 EXTEND_BELOW_S = 15.0
 EXTEND_EVERY_S = 2.0
@@ -56,12 +56,12 @@
     """
     if not state.log.caught_up:
         return
-    if is_idle_leaver(state):
+    if is_drained(state):
         yield from _release(state)
         return
     yield from _renew(state)
-    yield from _ask_extension(state)
-    yield from _watch(state)
+    yield from _request_extension(state)
+    yield from _watch_leases(state)
 
 
 def on_folded(state: State, event: RecordFolded) -> Iterator[object]:
@@ -77,7 +77,7 @@
     if record.kind != HOLDER_RENEWED:
         return
     lease = state.limits.lease
-    lease.wanted_at_s = None
+    lease.renewal_proposed_at_s = None
     if event.accepted:
         lease.sent_s = float(record.body["sent_s"])
         lease.until_s = max(lease.until_s, lease.sent_s + LEASE_S)
@@ -90,12 +90,12 @@
     Give or take an extension.
     """
     if isinstance(event.message, ExtensionAsked):
-        yield from _give_extension(state, event.sender, event.message)
+        yield from _grant_extension(state, event.sender, event.message)
     elif isinstance(event.message, ExtensionGiven):
-        _take_extension(state, event.sender, event.message)
+        _apply_extension(state, event.sender, event.message)
 
 
-def is_idle_leaver(state: State) -> bool:
+def is_drained(state: State) -> bool:
     """
     Tell whether this instance is stopping and has no request left.
 
@@ -105,7 +105,7 @@
     return state.stopping and not state.requests.open_tokens and not state.requests.attempts
 
 
-def is_handed_back(state: State) -> bool:
+def may_exit(state: State) -> bool:
     """
     Tell whether a stopping instance may end: the log has taken its allowances back, or could not
     be reached for a while.
@@ -113,7 +113,7 @@
     :param state: the state.
     :returns: whether nothing is left to do.
     """
-    if not is_idle_leaver(state):
+    if not is_drained(state):
         return False
     lease = state.limits.lease
     waited_s = state.now_s - lease.released_at_s
@@ -132,31 +132,34 @@
     return lease if lease is not None and lease.incarnation == sender.incarnation else None
 
 
-def _want(state: State, kind: str, instance: str, body: dict[str, object]) -> Emit:
+def _propose(state: State, kind: str, instance: str, body: dict[str, object]) -> Emit:
     subject = holder_subject(instance)
     base = state.fold.position.revisions.get(subject, 0)
-    return Emit(RecordWanted(kind, subject, base, body))
+    return Emit(RecordProposed(kind, subject, base, body))
 
 
 def _renew(state: State) -> Iterator[object]:
     lease = state.limits.lease
-    renew_after_s = RENEW_AFTER_S if _has_reclaimers(state) else RENEW_SOON_S
+    renew_after_s = RENEW_AFTER_S if _has_reclaimers(state) else RENEW_UNPROTECTED_AFTER_S
     is_fresh = lease.until_s - state.now_s > LEASE_S - renew_after_s
-    is_open = lease.wanted_at_s is not None and state.now_s - lease.wanted_at_s < WANTED_VALID_S
+    is_open = (
+        lease.renewal_proposed_at_s is not None
+        and state.now_s - lease.renewal_proposed_at_s < RENEWAL_TIMEOUT_S
+    )
     if is_open or state.membership.superseded or (is_fresh and own_lease(state) is not None):
         return
-    lease.wanted_at_s = state.now_s
+    lease.renewal_proposed_at_s = state.now_s
     sender = state.identity.sender
     body = {"zone": sender.zone, "sent_s": state.now_s}
-    yield _want(state, HOLDER_RENEWED, sender.instance, body)
+    yield _propose(state, HOLDER_RENEWED, sender.instance, body)
 
 
 def _has_reclaimers(state: State) -> bool:
     # Only a holder with reclaimers that live can have its lease extended while the log is out.
     own = own_lease(state)
     registered = registered_keys(state.fold.allowances)
-    living = [] if own is None else [key for key in own.reclaimers if key in registered]
-    return len(living) >= min(RECLAIMERS, len(registered) - 1)
+    live = [] if own is None else [key for key in own.reclaimers if key in registered]
+    return len(live) >= min(RECLAIMERS, len(registered) - 1)
 
 
 def _release(state: State) -> Iterator[object]:
@@ -168,10 +171,10 @@
     lease.until_s = 0.0
     running = {team: units for team, units in state.limits.running.items() if units > 0}
     body: dict[str, object] = {"running": running}
-    yield _want(state, HOLDER_RELEASED, state.identity.sender.instance, body)
+    yield _propose(state, HOLDER_RELEASED, state.identity.sender.instance, body)
 
 
-def _ask_extension(state: State) -> Iterator[object]:
+def _request_extension(state: State) -> Iterator[object]:
     lease = state.limits.lease
     own = own_lease(state)
     if own is None or lease.until_s - state.now_s > EXTEND_BELOW_S:
@@ -187,7 +190,7 @@
             yield SendPeer(peer.peer_address, message)
 
 
-def _give_extension(state: State, sender: Sender, asked: ExtensionAsked) -> Iterator[object]:
+def _grant_extension(state: State, sender: Sender, asked: ExtensionAsked) -> Iterator[object]:
     watch = state.limits.watches.get(holder_key(sender))
     peer = state.membership.peers.get(sender.instance)
     # An instance whose own lease has ended may be reclaimed itself, so its word binds nobody.
@@ -199,7 +202,7 @@
     yield SendPeer(peer.peer_address, ExtensionGiven(asked.renewed_offset, asked.asked_at_s))
 
 
-def _take_extension(state: State, sender: Sender, given: ExtensionGiven) -> None:
+def _apply_extension(state: State, sender: Sender, given: ExtensionGiven) -> None:
     own = own_lease(state)
     if own is None or own.renewed_offset != given.renewed_offset or not own.reclaimers:
         return
@@ -213,7 +216,7 @@
     lease.until_s = max(lease.until_s, until_s)
 
 
-def _watch(state: State) -> Iterator[object]:
+def _watch_leases(state: State) -> Iterator[object]:
     allowances = state.fold.allowances
     own_key = holder_key(state.identity.sender)
     registered = registered_keys(allowances)
@@ -241,7 +244,7 @@
     order = lease.reclaimers
     if watch.orphaned:
         order = tuple(rank(key, list(registered_keys(state.fold.allowances))))
-    wait_s = lapse_wait_s(0.0)
+    wait_s = expiry_wait_s(0.0)
     if own_key in order:
         wait_s += order.index(own_key) * RECLAIM_STAGGER_S
     else:
@@ -252,10 +255,10 @@
     instance = key.rpartition(":")[0]
     yield WriteLog("allowance.reclaiming", {"holder": key})
     body: dict[str, object] = {"instance": instance, "incarnation": lease.incarnation}
-    yield _want(state, HOLDER_RECLAIMED, instance, body)
+    yield _propose(state, HOLDER_RECLAIMED, instance, body)
 
 
-def lapse_wait_s(grace_s: float) -> float:
+def expiry_wait_s(grace_s: float) -> float:
     """
     Give the time after which another instance's lease has certainly ended.
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_recovery.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_recovery.py
@@ -9,20 +9,20 @@
 from collections.abc import Iterator
 
 from ._allowance_fold import FencedHolder, rank, registered_keys
-from ._allowance_lease import LEASE_S, lapse_wait_s, own_lease
+from ._allowance_lease import LEASE_S, expiry_wait_s, own_lease
 from ._allowance_messages import ALLOWANCE_SETTLED, allowance_subject, holder_key
-from ._allowance_state import EndpointSight
+from ._allowance_state import EndpointObservation
 from ._config import ConfigFold
 from ._effects import Emit, ProbeEndpoint
-from ._events import CapacityChanged, EndpointProbed, InstancesListed, RecordWanted, Ticked
+from ._events import CapacityChanged, EndpointProbed, InstancesListed, RecordProposed, Ticked
 from ._handlers import HandlerTable
-from ._limits import give_back, held_units, revision
+from ._limits import held_units, release_unit, revision
 from ._state import State
 
 PROBE_EVERY_S = 1.0
 PROBE_TIMEOUT_S = 1.0
 # Time after which no probe sent earlier, and no attempt still on its way, can arrive.
-SETTLE_S = 3.0
+MAX_TRANSIT_S = 3.0
 # Time between the attempts of two settlers, so that one record does.
 SETTLE_STAGGER_S = 3.0
 SETTLERS = 3
@@ -34,9 +34,9 @@
     """
     Ask endpoints for evidence, and free what has certainly ended.
     """
-    _note_fenced(state)
-    if not state.limits.recovery.lingering and not _has_duty(state):
-        state.limits.recovery.sights.clear()
+    _record_fenced(state)
+    if not state.limits.recovery.uncertain and not _is_settler(state):
+        state.limits.recovery.observations.clear()
     elif state.now_s - state.limits.recovery.probed_at_s >= PROBE_EVERY_S:
         state.limits.recovery.probed_at_s = state.now_s
         yield from _probe(state)
@@ -53,17 +53,17 @@
         return
     counts = Counter((item.holder, item.team) for item in event.running)
     recovery = state.limits.recovery
-    recovery.sights[event.endpoint] = EndpointSight(state.now_s, dict(counts))
+    recovery.observations[event.endpoint] = EndpointObservation(state.now_s, dict(counts))
     running = {item.attempt for item in event.running}
     ended = [
         attempt
-        for attempt, item in recovery.lingering.items()
+        for attempt, item in recovery.uncertain.items()
         if item.endpoint == event.endpoint
         and attempt not in running
-        and state.now_s - item.since_s >= SETTLE_S
+        and state.now_s - item.since_s >= MAX_TRANSIT_S
     ]
     for attempt in ended:
-        give_back(state, recovery.lingering.pop(attempt).team)
+        release_unit(state, recovery.uncertain.pop(attempt).team)
     if ended:
         yield Emit(CapacityChanged())
 
@@ -74,9 +74,9 @@
     """
     recovery = state.limits.recovery
     listed = {item.id for item in event.instances if item.role == "endpoint"}
-    for attempt, item in list(recovery.lingering.items()):
+    for attempt, item in list(recovery.uncertain.items()):
         if item.endpoint not in listed and state.now_s - item.since_s >= LEASE_S:
-            give_back(state, recovery.lingering.pop(attempt).team)
+            release_unit(state, recovery.uncertain.pop(attempt).team)
     return iter(())
 
 
@@ -103,13 +103,13 @@
     return max(graces, default=0.0)
 
 
-def _note_fenced(state: State) -> None:
+def _record_fenced(state: State) -> None:
     fenced = state.fold.allowances.fenced
     noted = state.limits.recovery.fenced_at_s
     state.limits.recovery.fenced_at_s = {key: noted.get(key, state.now_s) for key in fenced}
 
 
-def _has_duty(state: State) -> bool:
+def _is_settler(state: State) -> bool:
     return any(_settler_rank(state, key) < SETTLERS for key in state.fold.allowances.fenced)
 
 
@@ -120,8 +120,8 @@
 
 
 def _probe(state: State) -> Iterator[object]:
-    needed = {item.endpoint for item in state.limits.recovery.lingering.values()}
-    has_duty = _has_duty(state)
+    needed = {item.endpoint for item in state.limits.recovery.uncertain.values()}
+    has_duty = _is_settler(state)
     for endpoint in state.endpoints.endpoints.values():
         if has_duty or endpoint.id in needed:
             yield ProbeEndpoint(endpoint.id, endpoint.address, PROBE_TIMEOUT_S)
@@ -137,7 +137,7 @@
         team = state.fold.config.teams.get(name)
         held = 0 if team is None else held_units(state, team)
         excess = max(0, state.limits.running.get(name, 0) - held)
-        yield from _settle(state, name, key, excess)
+        yield from _propose_settlement(state, name, key, excess)
 
 
 def _settle_fenced(state: State) -> Iterator[object]:
@@ -150,35 +150,37 @@
                 continue
             from_s = _evidence_from_s(state, key, fenced, name)
             if state.now_s >= from_s + order * SETTLE_STAGGER_S:
-                yield from _settle(state, name, key, _may_run(state, key, name, from_s))
+                yield from _propose_settlement(
+                    state, name, key, _possibly_running(state, key, name, from_s)
+                )
 
 
 def _evidence_from_s(state: State, key: str, fenced: FencedHolder, team: str) -> float:
     grace_s = max_grace_s(state.fold.config, team, fenced.renewed_offset)
-    wait_s = grace_s if fenced.lapsed and grace_s == 0 else lapse_wait_s(grace_s)
-    return state.limits.recovery.fenced_at_s.get(key, state.now_s) + wait_s + SETTLE_S
+    wait_s = grace_s if fenced.expired and grace_s == 0 else expiry_wait_s(grace_s)
+    return state.limits.recovery.fenced_at_s.get(key, state.now_s) + wait_s + MAX_TRANSIT_S
 
 
-def _may_run(state: State, key: str, team: str, from_s: float) -> int:
+def _possibly_running(state: State, key: str, team: str, from_s: float) -> int:
     units = 0
     for endpoint in state.endpoints.endpoints.values():
-        sight = state.limits.recovery.sights.get(endpoint.id)
-        if sight is None or sight.at_s < from_s:
+        observation = state.limits.recovery.observations.get(endpoint.id)
+        if observation is None or observation.at_s < from_s:
             units += endpoint.slots
         else:
-            units += sight.running.get((key, team), 0)
+            units += observation.running.get((key, team), 0)
     return units
 
 
-def _settle(state: State, team: str, key: str, units: int) -> Iterator[object]:
+def _propose_settlement(state: State, team: str, key: str, units: int) -> Iterator[object]:
     recovering = state.fold.allowances.teams[team].recovering[key]
     base = revision(state, team)
-    wanted = state.limits.recovery.wanted
-    if units >= recovering or wanted.get((team, key)) == base:
+    proposed = state.limits.recovery.proposed
+    if units >= recovering or proposed.get((team, key)) == base:
         return
-    wanted[(team, key)] = base
+    proposed[(team, key)] = base
     body: dict[str, object] = {"team": team, "holder": key, "units": units}
-    yield Emit(RecordWanted(ALLOWANCE_SETTLED, allowance_subject(team), base, body))
+    yield Emit(RecordProposed(ALLOWANCE_SETTLED, allowance_subject(team), base, body))
 
 
 HANDLERS: HandlerTable = {
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_state.py
@@ -27,7 +27,7 @@
 
     :param until_s: own time at which it ends.
     :param sent_s: own time at which the last accepted renewal was sent.
-    :param wanted_at_s: own time of a renewal whose fate is open, or ``None``.
+    :param renewal_proposed_at_s: own time of a renewal whose fate is open, or ``None``.
     :param asked_at_s: own time of the last request for an extension.
     :param extensions: own time of the request that each reclaimer granted.
     :param released: whether this leaving instance asked the log to take back what it holds.
@@ -36,7 +36,7 @@
 
     until_s: float = 0.0
     sent_s: float = 0.0
-    wanted_at_s: float | None = None
+    renewal_proposed_at_s: float | None = None
     asked_at_s: float = 0.0
     extensions: dict[str, float] = msgspec.field(default_factory=dict)
     released: bool = False
@@ -76,7 +76,7 @@
     A balancer's view of one team.
 
     :param demands: last demand by key of the holder.
-    :param short_since_s: own time since which a holder could gain, or ``None``.
+    :param unbalanced_since_s: own time since which a holder could gain, or ``None``.
     :param asked_revision: revision for which cessions were asked.
     :param asked_at_s: own time of that question.
     :param ceded: units that each holder promised not to exceed at that revision.
@@ -84,7 +84,7 @@
     """
 
     demands: dict[str, HolderDemand] = msgspec.field(default_factory=dict)
-    short_since_s: float | None = None
+    unbalanced_since_s: float | None = None
     asked_revision: int = -1
     asked_at_s: float = 0.0
     ceded: dict[str, int] = msgspec.field(default_factory=dict)
@@ -115,7 +115,7 @@
     tokens: float = 0.0
 
 
-class LingeringAttempt(NamedTuple):
+class UncertainAttempt(NamedTuple):
     """
     An attempt of unknown outcome, which may still run.
 
@@ -129,7 +129,7 @@
     since_s: float
 
 
-class EndpointSight(NamedTuple):
+class EndpointObservation(NamedTuple):
     """
     What an endpoint last said to run.
 
@@ -145,18 +145,18 @@
     """
     Evidence that work has ended.
 
-    :param lingering: attempts of this instance whose outcome is unknown, by id.
-    :param sights: last sight of each endpoint.
+    :param uncertain: attempts of this instance whose outcome is unknown, by id.
+    :param observations: last sight of each endpoint.
     :param fenced_at_s: own time at which each former holder was seen to be fenced.
     :param probed_at_s: own time of the last probes.
-    :param wanted: revision for which a settlement of a team and holder was wanted.
+    :param proposed: revision for which a settlement of a team and holder was wanted.
     """
 
-    lingering: dict[str, LingeringAttempt] = msgspec.field(default_factory=dict)
-    sights: dict[str, EndpointSight] = msgspec.field(default_factory=dict)
+    uncertain: dict[str, UncertainAttempt] = msgspec.field(default_factory=dict)
+    observations: dict[str, EndpointObservation] = msgspec.field(default_factory=dict)
     fenced_at_s: dict[str, float] = msgspec.field(default_factory=dict)
     probed_at_s: float = 0.0
-    wanted: dict[tuple[str, str], int] = msgspec.field(default_factory=dict)
+    proposed: dict[tuple[str, str], int] = msgspec.field(default_factory=dict)
 
 
 class LimitState(msgspec.Struct):
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_controllers.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_controllers.py
@@ -12,7 +12,7 @@
 from ._allowance_fold import rank
 from ._allowance_messages import HOLDER_RENEWED
 from ._effects import Emit
-from ._events import LogUnavailable, RecordFolded, RecordWanted, Ticked
+from ._events import LogUnavailable, RecordFolded, RecordProposed, Ticked
 from ._fleet_messages import CONTROLLER_CLAIMED, controller_subject
 from ._fleet_state import NEVER_S, AskedRecord
 from ._handlers import HandlerTable
@@ -75,7 +75,7 @@
     if asked is not None and asked.base == base and state.now_s - asked.at_s < ASK_AGAIN_S:
         return
     state.fleet.asked[subject] = AskedRecord(base, state.now_s)
-    yield Emit(RecordWanted(kind, subject, base, body))
+    yield Emit(RecordProposed(kind, subject, base, body))
 
 
 def on_folded(state: State, event: RecordFolded) -> Iterator[object]:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_dispatch.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_dispatch.py
@@ -26,15 +26,15 @@
     RequestAbandoned,
     Ticked,
 )
-from ._fair_offers import SlotGained, SlotReleased
+from ._fair_offers import SlotReceived, SlotReleased
 from ._handlers import HandlerTable
 from ._overload import OPEN_SHARE
 from ._refusals import Refusal
 from ._requests import Attempt, Request
 from ._state import State
 
-MIN_ATTEMPT_S = 0.001
-FAILED_STATUS = 500
+MIN_ATTEMPT_TIMEOUT_S = 0.001
+MIN_FAILED_STATUS = 500
 
 
 def on_capacity(state: State, event: CapacityChanged) -> Iterator[object]:
@@ -43,7 +43,7 @@
     """
     services = list(state.fair.services) if event.service is None else [event.service]
     for service in services:
-        yield from _pump(state, service)
+        yield from _dispatch_waiting(state, service)
 
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
@@ -67,12 +67,12 @@
         yield DropAnswer(event.attempt)
         return
     req = attempt.request
-    _limits.give_back(state, req.team)
-    yield from _account(state, attempt)
-    _overload.count_held(state, -req.size_bytes)
-    failed = event.status >= FAILED_STATUS
+    _limits.release_unit(state, req.team)
+    yield from _record_completion(state, attempt)
+    _overload.add_held_bytes(state, -req.size_bytes)
+    failed = event.status >= MIN_FAILED_STATUS
     run_s = state.now_s - attempt.started_s
-    usual_s = _overload.load_of(state, req.service).run_s
+    usual_s = _overload.service_load(state, req.service).run_s
     _endpoints_health.note_answer(state, attempt.endpoint, failed, run_s, usual_s)
     yield from _joins.answer(state, req, event.attempt, event.status, event.size_bytes)
     yield Emit(CapacityChanged())
@@ -93,7 +93,7 @@
         yield from _endpoints_health.note_leaving(state, attempt.endpoint)
     elif endpoint is not None:
         endpoint.retry_at_s = max(endpoint.retry_at_s, state.now_s + state.tuning.refused_pause_s)
-    _limits.give_back(state, attempt.request.team)
+    _limits.release_unit(state, attempt.request.team)
     _fair_accounts.close_charge(state.fair, attempt.id, state.now_s, ran=False)
     # A full endpoint costs no retry: it gets nothing more from here for a moment.
     req = attempt.request
@@ -111,16 +111,16 @@
         return
     if not event.sent:
         _endpoints_health.note_unreachable(state, attempt.endpoint)
-        _limits.give_back(state, attempt.request.team)
+        _limits.release_unit(state, attempt.request.team)
         _fair_accounts.close_charge(state.fair, attempt.id, state.now_s, ran=False)
         yield from _retry(state, attempt)
         return
     yield from _endpoints_health.note_timeout(state, attempt.endpoint)
     req = attempt.request
     req.may_have_run = True
-    _overload.note_end(state, req, state.now_s - attempt.started_s)
+    _overload.record_completion(state, req, state.now_s - attempt.started_s)
     _fair_accounts.close_charge(state.fair, attempt.id, state.now_s, ran=True)
-    _limits.linger(state, attempt.id, req.team, attempt.endpoint)
+    _limits.keep_uncertain(state, attempt.id, req.team, attempt.endpoint)
     if req.idempotent and req.tries < state.tuning.max_tries and req.start_by_s > state.now_s:
         yield from _retry(state, attempt)
         return
@@ -129,7 +129,7 @@
     yield Emit(CapacityChanged(req.service))
 
 
-def on_gained(state: State, event: SlotGained) -> Iterator[object]:
+def on_slot_received(state: State, event: SlotReceived) -> Iterator[object]:
     """
     Use a slot that another instance left to this one, whatever waits elsewhere.
     """
@@ -154,10 +154,10 @@
     if req is None or any(a.request is req for a in state.requests.attempts.values()):
         return
     _remove_waiting(state, lambda waiting: waiting is req)
-    yield from _let_go(state, req)
+    yield from _release_request(state, req)
 
 
-def _pump(state: State, service: str) -> Iterator[object]:
+def _dispatch_waiting(state: State, service: str) -> Iterator[object]:
     while True:
         endpoint = _endpoints.choose(state, service)
         if endpoint is None:
@@ -176,7 +176,7 @@
     team = state.fold.config.teams.get(req.team)
     if team is None:
         return req.team.endswith("/open")
-    return _limits.try_take(state, team)
+    return _limits.try_acquire_unit(state, team)
 
 
 def _start(state: State, req: Request, endpoint: Endpoint) -> Dispatch:
@@ -186,7 +186,7 @@
     req.tries += 1
     if not req.is_counted:
         req.is_counted = True
-        _retries.note_first(state.overload, req.queue)
+        _retries.record_first_attempt(state.overload, req.queue)
     endpoint.in_flight += 1
     endpoint.used_s = state.now_s
     state.requests.attempts[attempt_id] = Attempt(attempt_id, req, endpoint.id, state.now_s)
@@ -198,7 +198,7 @@
         req.token,
         endpoint.id,
         endpoint.address,
-        max(MIN_ATTEMPT_S, min(req.deadline_s - state.now_s, req.max_run_s)),
+        max(MIN_ATTEMPT_TIMEOUT_S, min(req.deadline_s - state.now_s, req.max_run_s)),
         req.request_id,
         req.team,
         req.queue,
@@ -216,16 +216,16 @@
     return attempt
 
 
-def _account(state: State, attempt: Attempt) -> Iterator[object]:
+def _record_completion(state: State, attempt: Attempt) -> Iterator[object]:
     req = attempt.request
     run_s = state.now_s - attempt.started_s
-    _overload.note_end(state, req, run_s)
+    _overload.record_completion(state, req, run_s)
     _fair_accounts.close_charge(state.fair, attempt.id, state.now_s, ran=True)
     yield ObserveLatency(req.queue, req.team, attempt.started_s - req.arrived_s, run_s)
 
 
 def _retry(state: State, attempt: Attempt) -> Iterator[object]:
-    if _retries.try_take(state.overload, attempt.request.queue):
+    if _retries.try_acquire_retry(state.overload, attempt.request.queue):
         yield from _requeue(state, attempt.request)
     else:
         yield from _refuse_retry(state, attempt.request)
@@ -240,10 +240,10 @@
 
 def _requeue(state: State, req: Request) -> Iterator[object]:
     if not _joins.is_waited_for(state, req):
-        yield from _let_go(state, req)
+        yield from _release_request(state, req)
         return
     _overload.count_waiting(state, req, 1)
-    _fair.push(state.fair, req, state.now_s, first=True)
+    _fair.push(state.fair, req, state.now_s, at_front=True)
 
 
 def _remove_waiting(state: State, condition: Callable[[Request], bool]) -> list[Request]:
@@ -253,13 +253,13 @@
     return removed
 
 
-def _let_go(state: State, req: Request) -> Iterator[object]:
-    _overload.count_held(state, -req.size_bytes)
+def _release_request(state: State, req: Request) -> Iterator[object]:
+    _overload.add_held_bytes(state, -req.size_bytes)
     yield from _joins.forget(state, req)
 
 
 def _refuse(state: State, req: Request, refusal: Refusal) -> Iterator[object]:
-    _overload.count_held(state, -req.size_bytes)
+    _overload.add_held_bytes(state, -req.size_bytes)
     told = _refusals.for_repeat(refusal) if req.may_have_run else refusal
     yield from _joins.refuse(state, req, told)
 
@@ -271,5 +271,5 @@
     AttemptRefused: on_refused,
     AttemptFailed: on_failed,
     RequestAbandoned: on_abandoned,
-    SlotGained: on_gained,
+    SlotReceived: on_slot_received,
 }
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_effects.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_effects.py
@@ -165,7 +165,7 @@
     run_s: float
 
 
-class Leave(NamedTuple):
+class Exit(NamedTuple):
     """
     Everything is handed back: end the process.
     """
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints_health.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints_health.py
@@ -18,7 +18,7 @@
 from ._handlers import HandlerTable
 from ._membership import zone_peers
 from ._membership_state import ALIVE
-from ._overload import load_of
+from ._overload import service_load
 from ._state import State
 
 DUTY_PROBE_S = 1.0
@@ -176,7 +176,7 @@
     own = state.identity.sender
     if endpoint.zone != own.zone:
         is_used = endpoint.used_s >= 0 and state.now_s - endpoint.used_s < REMOTE_USE_S
-        is_wanted = load_of(state, endpoint.service).total > 0
+        is_wanted = service_load(state, endpoint.service).total > 0
         return OTHER_PROBE_S if is_used or is_wanted else None
 
     def weight(instance: str) -> int:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_events.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_events.py
@@ -270,7 +270,7 @@
     message: Any
 
 
-class RecordWanted(NamedTuple):
+class RecordProposed(NamedTuple):
     """
     A domain of this instance wants a record in the log.
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair.py
@@ -4,27 +4,27 @@
 
 from collections.abc import Callable
 
-from ._fair_accounts import find_team, mark_active
+from ._fair_accounts import get_team_queue, mark_active
 from ._fair_state import FairState, ServiceQueue, TeamQueue
 from ._requests import Request
 
 
-def push(fair: FairState, req: Request, now_s: float, *, first: bool = False) -> None:
+def push(fair: FairState, req: Request, now_s: float, *, at_front: bool = False) -> None:
     """
     Let a request wait.
 
     :param fair: changed in place.
     :param req: the request.
     :param now_s: time.
-    :param first: put it before others of its team, as after an attempt that did not run.
+    :param at_front: put it before others of its team, as after an attempt that did not run.
     """
-    team = find_team(fair, req.service, req.team)
+    team = get_team_queue(fair, req.service, req.team)
     mark_active(fair.services[req.service], team, now_s)
-    line = team.urgent if req.urgent else team.normal
-    if first:
-        line.appendleft(req)
+    requests = team.urgent if req.urgent else team.normal
+    if at_front:
+        requests.appendleft(req)
     else:
-        line.append(req)
+        requests.append(req)
     count_request(fair, req, 1)
 
 
@@ -52,10 +52,10 @@
         if team.virtual_s > service.ceiling_s and not ignore_ceiling:
             # A team that only waits elsewhere was served less.
             return None
-        line = team.urgent or team.normal
-        team.is_blocked = not may_start(line[0])
+        requests = team.urgent or team.normal
+        team.is_blocked = not may_start(requests[0])
         if not team.is_blocked:
-            req = line.popleft()
+            req = requests.popleft()
             count_request(fair, req, -1)
             return req
     return None
@@ -92,12 +92,12 @@
     removed: list[Request] = []
     for service in fair.services.values():
         for team in service.teams.values():
-            for line in (team.urgent, team.normal):
-                taken = [req for req in line if condition(req)]
+            for requests in (team.urgent, team.normal):
+                taken = [req for req in requests if condition(req)]
                 if taken:
-                    kept = [req for req in line if not condition(req)]
-                    line.clear()
-                    line.extend(kept)
+                    kept = [req for req in requests if not condition(req)]
+                    requests.clear()
+                    requests.extend(kept)
                     removed.extend(taken)
     for req in removed:
         count_request(fair, req, -1)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_accounts.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_accounts.py
@@ -12,17 +12,17 @@
 from ._fair_state import RUN_TIMES_KEPT, Charge, FairState, ServiceQueue, TeamQueue
 from ._requests import Request
 
-FIRST_ESTIMATE_S = 0.1
+INITIAL_ESTIMATE_S = 0.1
 # Time without demand after which a team gets no credit for being away.
 IDLE_S = 1.0
 # How far an account may lie behind or before the level, in seconds of the level's growth.
 MAX_LAG_S = 0.2
 MAX_LEAD_S = 30.0
 # Time in which the estimate of the level's growth follows a change.
-RATE_TIME_S = 3.0
+RATE_TIME_CONSTANT_S = 3.0
 
 
-def find_team(fair: FairState, service_name: str, team_name: str) -> TeamQueue:
+def get_team_queue(fair: FairState, service_name: str, team_name: str) -> TeamQueue:
     """
     Give a team's queue for a service, made when it is new.
 
@@ -61,7 +61,7 @@
     :param share: weight of its team.
     :param now_s: time.
     """
-    find_team(fair, req.service, req.team).share = share
+    get_team_queue(fair, req.service, req.team).share = share
     charge = Charge(req.service, req.team, req.queue, now_s, 0.0)
     fair.charges[attempt] = charge
     _charge_up_to(fair, charge, _estimate_s(fair, req.queue, req.team))
@@ -99,7 +99,7 @@
         fair.run_times.setdefault(key, deque(maxlen=RUN_TIMES_KEPT)).append(run_s)
 
 
-def add_remote(fair: FairState, service_name: str, team_name: str, cost_s: float) -> None:
+def add_remote_usage(fair: FairState, service_name: str, team_name: str, cost_s: float) -> None:
     """
     Add what other instances served to a team's account.
 
@@ -108,11 +108,11 @@
     :param team_name: ``WORKSPACE/TEAM``.
     :param cost_s: resource-seconds; negative for a correction.
     """
-    team = find_team(fair, service_name, team_name)
+    team = get_team_queue(fair, service_name, team_name)
     team.virtual_s += cost_s / team.share
 
 
-def advance_level(
+def advance_virtual_time(
     service: ServiceQueue, now_s: float, is_waiting: Callable[[str, TeamQueue], bool]
 ) -> None:
     """
@@ -133,14 +133,14 @@
         for team in service.teams.values():
             team.virtual_s = service.virtual_s
         return
-    level_s = max(service.virtual_s, min(team.virtual_s for team in waiting))
+    system_virtual_s = max(service.virtual_s, min(team.virtual_s for team in waiting))
     if elapsed_s > 0:
-        weight = min(1.0, elapsed_s / RATE_TIME_S)
-        grown = (level_s - service.virtual_s) / elapsed_s
+        weight = min(1.0, elapsed_s / RATE_TIME_CONSTANT_S)
+        grown = (system_virtual_s - service.virtual_s) / elapsed_s
         service.rate += weight * (grown - service.rate)
-    service.virtual_s = level_s
-    lowest_s = level_s - MAX_LAG_S * service.rate
-    highest_s = level_s + MAX_LEAD_S * service.rate
+    service.virtual_s = system_virtual_s
+    lowest_s = system_virtual_s - MAX_LAG_S * service.rate
+    highest_s = system_virtual_s + MAX_LEAD_S * service.rate
     for team in service.teams.values():
         team.virtual_s = min(max(team.virtual_s, lowest_s), max(highest_s, lowest_s))
 
@@ -148,11 +148,11 @@
 def _charge_up_to(fair: FairState, charge: Charge, cost_s: float) -> None:
     step_s = cost_s - charge.charged_s
     charge.charged_s = cost_s
-    team = find_team(fair, charge.service, charge.team)
+    team = get_team_queue(fair, charge.service, charge.team)
     team.served_s += step_s
     team.virtual_s += step_s / team.share
 
 
 def _estimate_s(fair: FairState, queue: str, team: str) -> float:
     run_times = fair.run_times.get((queue, team))
-    return median(run_times) if run_times else FIRST_ESTIMATE_S
+    return median(run_times) if run_times else INITIAL_ESTIMATE_S
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_room.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_eviction.py
@@ -11,7 +11,9 @@
 from ._requests import Request
 
 
-def take_excess(fair: FairState, service_name: str, queue: str, team_name: str) -> Request | None:
+def evict_newest_excess(
+    fair: FairState, service_name: str, queue: str, team_name: str
+) -> Request | None:
     """
     Take out a waiting request of a team that has more than its part of a full queue.
 
@@ -41,11 +43,11 @@
     return req
 
 
-def _take_newest(line: deque[Request], queue: str) -> Request | None:
-    for place in range(len(line) - 1, -1, -1):
+def _take_newest(requests: deque[Request], queue: str) -> Request | None:
+    for place in range(len(requests) - 1, -1, -1):
         # A request that was tried may have run, so it can't be refused as not run.
-        if line[place].queue == queue and line[place].tries == 0:
-            req = line[place]
-            del line[place]
+        if requests[place].queue == queue and requests[place].tries == 0:
+            req = requests[place]
+            del requests[place]
             return req
     return None
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_exchange.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_exchange.py
@@ -12,7 +12,13 @@
 from ._effects import Emit, SendPeer
 from ._events import CapacityChanged, PeerReceived, Ticked
 from ._fair import count_waiting
-from ._fair_accounts import accrue, add_remote, advance_level, find_team, mark_active
+from ._fair_accounts import (
+    accrue,
+    add_remote_usage,
+    advance_virtual_time,
+    get_team_queue,
+    mark_active,
+)
 from ._fair_messages import ServedReported, ServiceRow, ZoneServedReported
 from ._fair_state import FairExchange, RemoteSource, ServiceQueue, TeamQueue
 from ._handlers import HandlerTable
@@ -33,7 +39,7 @@
 SLACK_S = 0.05
 # Time after which slots left free are taken again when nobody used them, and for how long.
 HOLD_MAX_S = 2.0
-IGNORE_S = 5.0
+CEILING_OFF_S = 5.0
 
 # Sources that are whole zones have names that no instance has.
 ZONE_SOURCE_PREFIX = "zone "
@@ -48,9 +54,9 @@
         _update_service(state, name, service)
     exchange = state.fair.exchange
     if state.now_s >= exchange.send_at_s:
-        yield from _tell_zone(state)
+        yield from _report_to_zone(state)
     if state.now_s >= exchange.relay_at_s:
-        yield from _tell_other_zones(state)
+        yield from _report_to_other_zones(state)
 
 
 def on_peer(state: State, event: PeerReceived) -> Iterator[object]:
@@ -130,22 +136,22 @@
     def waits(team_name: str, team: TeamQueue) -> bool:
         return remote[team_name] > 0 or (count_waiting(team) > 0 and not team.is_blocked)
 
-    advance_level(service, state.now_s, waits)
+    advance_virtual_time(service, state.now_s, waits)
     _set_ceiling(state, service, remote)
 
 
 def _set_ceiling(state: State, service: ServiceQueue, remote: dict[str, int]) -> None:
     service.ceiling_s = float("inf")
     behind = [service.teams[name].virtual_s for name, waiting in remote.items() if waiting > 0]
-    if not behind or state.now_s < service.ignore_until_s:
-        service.held_since_s = state.now_s
+    if not behind or state.now_s < service.ceiling_off_until_s:
+        service.ceiling_since_s = state.now_s
         return
     lowest_s = min(behind)
-    if lowest_s != service.held_at_s:
-        service.held_at_s = lowest_s
-        service.held_since_s = state.now_s
-    if state.now_s - service.held_since_s > HOLD_MAX_S:
-        service.ignore_until_s = state.now_s + IGNORE_S
+    if lowest_s != service.ceiling_team_s:
+        service.ceiling_team_s = lowest_s
+        service.ceiling_since_s = state.now_s
+    if state.now_s - service.ceiling_since_s > HOLD_MAX_S:
+        service.ceiling_off_until_s = state.now_s + CEILING_OFF_S
         return
     service.ceiling_s = lowest_s + SLACK_S * service.rate
 
@@ -175,7 +181,7 @@
     return tuple(rows)
 
 
-def _tell_zone(state: State) -> Iterator[object]:
+def _report_to_zone(state: State) -> Iterator[object]:
     rows = tuple(_own_rows(state).values())
     if not rows:
         return
@@ -190,7 +196,7 @@
         yield SendPeer(member.peer_address, message)
 
 
-def _tell_other_zones(state: State) -> Iterator[object]:
+def _report_to_other_zones(state: State) -> Iterator[object]:
     zones = relayed_zones(state)
     rows = _zone_rows(state) if zones else ()
     if not rows:
@@ -241,10 +247,10 @@
     # What was served before this instance first heard of it is not counted.
     step_s = row.served_s - source.served.get(key, row.served_s)
     source.served[key] = row.served_s
-    team = find_team(state.fair, row.service, row.team)
+    team = get_team_queue(state.fair, row.service, row.team)
     if step_s > 0 or row.waiting > 0:
         mark_active(state.fair.services[row.service], team, state.now_s)
-    add_remote(state.fair, row.service, row.team, step_s)
+    add_remote_usage(state.fair, row.service, row.team, step_s)
     if is_peer:
         exchange.zone_served[key] = exchange.zone_served.get(key, 0.0) + step_s
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_offers.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_offers.py
@@ -18,7 +18,7 @@
 from ._wire import register_message
 
 # Times that an offer is passed on inside the zone that it was sent to.
-MAX_PASSES = 1
+MAX_HOPS = 1
 
 
 class SlotReleased(NamedTuple):
@@ -35,7 +35,7 @@
     in_flight: int
 
 
-class SlotGained(NamedTuple):
+class SlotReceived(NamedTuple):
     """
     Another instance left a slot to this one.
 
@@ -54,15 +54,15 @@
 
     :param service: ``WORKSPACE/SERVICE``.
     :param endpoint: id of the endpoint.
-    :param passes: times that the offer was passed on.
+    :param hops: times that the offer was passed on.
     """
 
     service: str
     endpoint: str
-    passes: int
+    hops: int
 
 
-def on_released(state: State, event: SlotReleased) -> Iterator[object]:
+def on_slot_released(state: State, event: SlotReleased) -> Iterator[object]:
     """
     Offer the slot elsewhere when nothing here took it.
     """
@@ -81,9 +81,9 @@
         return
     service = state.fair.services.get(offer.service)
     if service is not None and any(is_waiting(team) for team in service.teams.values()):
-        yield Emit(SlotGained(offer.service, offer.endpoint))
-    elif offer.passes < MAX_PASSES:
-        yield from _offer(state, offer._replace(passes=offer.passes + 1))
+        yield Emit(SlotReceived(offer.service, offer.endpoint))
+    elif offer.hops < MAX_HOPS:
+        yield from _offer(state, offer._replace(hops=offer.hops + 1))
 
 
 def _offer(state: State, offer: SlotOffered) -> Iterator[object]:
@@ -97,12 +97,12 @@
         for name, source in state.fair.exchange.sources.items()
         if is_valid(state, source)
         and key in source.waiting
-        and not (offer.passes > 0 and name.startswith(ZONE_SOURCE_PREFIX))
+        and not (offer.hops > 0 and name.startswith(ZONE_SOURCE_PREFIX))
     }
     if not sources:
         return
     chosen = state.rng.choices(list(sources), list(sources.values()))[0]
-    address = _address(state, chosen)
+    address = _offer_address(state, chosen)
     if address is not None:
         _count_offer(state, chosen, key)
         yield SendPeer(address, offer)
@@ -125,7 +125,7 @@
     return min(waiting, key=lambda name: service.teams[name].virtual_s, default=None)
 
 
-def _address(state: State, source: str) -> str | None:
+def _offer_address(state: State, source: str) -> str | None:
     if not source.startswith(ZONE_SOURCE_PREFIX):
         peer = state.membership.peers.get(source)
         return None if peer is None else peer.peer_address
@@ -134,4 +134,4 @@
     return state.rng.choice(addresses) if addresses else None
 
 
-HANDLERS: HandlerTable = {SlotReleased: on_released, PeerReceived: on_peer}
+HANDLERS: HandlerTable = {SlotReleased: on_slot_released, PeerReceived: on_peer}
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_state.py
@@ -41,9 +41,9 @@
     :param rate: growth of the level, per second.
     :param advanced_at_s: time at which the level was last looked at.
     :param ceiling_s: account above which a team leaves slots to teams of other instances.
-    :param held_at_s: account of the team for which slots are left free.
-    :param held_since_s: time since which that account has not grown.
-    :param ignore_until_s: time until which no slots are left free.
+    :param ceiling_team_s: account of the team for which slots are left free.
+    :param ceiling_since_s: time since which that account has not grown.
+    :param ceiling_off_until_s: time until which no slots are left free.
     """
 
     teams: dict[str, TeamQueue] = msgspec.field(default_factory=dict)
@@ -51,9 +51,9 @@
     rate: float = 0.0
     advanced_at_s: float = 0.0
     ceiling_s: float = float("inf")
-    held_at_s: float = 0.0
-    held_since_s: float = 0.0
-    ignore_until_s: float = 0.0
+    ceiling_team_s: float = 0.0
+    ceiling_since_s: float = 0.0
+    ceiling_off_until_s: float = 0.0
 
 
 class Charge(msgspec.Struct):
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness_withdrawals.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness_withdrawals.py
@@ -12,7 +12,7 @@
 
 from . import _membership
 from ._effects import Emit, WriteLog
-from ._events import PeerReceived, RecordFolded, RecordWanted, Ticked
+from ._events import PeerReceived, RecordFolded, RecordProposed, Ticked
 from ._freshness import is_withdrawn
 from ._handlers import HandlerTable
 from ._keys import key_name
@@ -154,7 +154,7 @@
 def _want_record(name: str) -> Emit:
     workspace, _, key_id = name.partition("/")
     body = {"workspace": workspace, "key_id": key_id}
-    return Emit(RecordWanted(KEY_WITHDRAWN, f"key/{name}", None, body))
+    return Emit(RecordProposed(KEY_WITHDRAWN, f"key/{name}", None, body))
 
 
 def _forget_folded(state: State) -> None:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_lifecycle.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_lifecycle.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 from . import _allowance_lease, _endpoints
-from ._effects import Emit, Leave, ReadInstances, WriteLog
+from ._effects import Emit, Exit, ReadInstances, WriteLog
 from ._events import CapacityChanged, InstancesListed, Started, StopRequested, Ticked
 from ._handlers import HandlerTable
 from ._state import State
@@ -26,8 +26,8 @@
     if state.now_s - state.list_read_at_s >= state.tuning.list_interval_s:
         state.list_read_at_s = state.now_s
         yield ReadInstances()
-    if _allowance_lease.is_handed_back(state):
-        yield Leave()
+    if _allowance_lease.may_exit(state):
+        yield Exit()
 
 
 def on_listed(state: State, event: InstancesListed) -> Iterator[object]:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_limits.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_limits.py
@@ -6,7 +6,7 @@
 """
 
 from ._allowance_messages import allowance_subject, holder_key
-from ._allowance_state import LingeringAttempt
+from ._allowance_state import UncertainAttempt
 from ._config import Team
 from ._state import State
 
@@ -49,10 +49,10 @@
     """
     if state.now_s >= state.limits.lease.until_s + team.grace_s:
         return 0
-    return promised_units(state, team)
+    return capped_units(state, team)
 
 
-def promised_units(state: State, team: Team) -> int:
+def capped_units(state: State, team: Team) -> int:
     """
     Give the units that this instance may run while its lease lasts.
 
@@ -67,7 +67,7 @@
     return held
 
 
-def try_take(state: State, team: Team) -> bool:
+def try_acquire_unit(state: State, team: Team) -> bool:
     """
     Take one unit when there is one to use.
 
@@ -82,7 +82,7 @@
     return True
 
 
-def give_back(state: State, team_name: str) -> None:
+def release_unit(state: State, team_name: str) -> None:
     """
     Return one unit whose work is known to have ended.
 
@@ -94,7 +94,7 @@
         running[team_name] -= 1
 
 
-def linger(state: State, attempt: str, team_name: str, endpoint: str) -> None:
+def keep_uncertain(state: State, attempt: str, team_name: str, endpoint: str) -> None:
     """
     Keep the unit of an attempt whose work may still run.
 
@@ -104,6 +104,6 @@
     :param endpoint: id of the endpoint that it was sent to.
     """
     if state.limits.running.get(team_name, 0) > 0:
-        state.limits.recovery.lingering[attempt] = LingeringAttempt(
+        state.limits.recovery.uncertain[attempt] = UncertainAttempt(
             team_name, endpoint, state.now_s
         )
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_outbox.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_outbox.py
@@ -14,8 +14,8 @@
     AppendDone,
     AppendFailed,
     RecordFolded,
+    RecordProposed,
     RecordResolved,
-    RecordWanted,
     StopRequested,
     Ticked,
 )
@@ -38,7 +38,7 @@
 REASON_OUTBOX_FULL = "outbox_full"
 
 
-def on_wanted(state: State, event: RecordWanted) -> Iterator[object]:
+def on_wanted(state: State, event: RecordProposed) -> Iterator[object]:
     """
     Number the record and append it as soon as it is its turn.
     """
@@ -183,7 +183,7 @@
 
 
 HANDLERS: HandlerTable = {
-    RecordWanted: on_wanted,
+    RecordProposed: on_wanted,
     AppendDone: on_done,
     AppendFailed: on_failed,
     LogReached: on_reached,
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_overload.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_overload.py
@@ -25,12 +25,12 @@
 RUN_MARGIN = 2.0
 MIN_RETRY_S = 0.1
 MAX_RETRY_S = 30.0
-RETRY_SPREAD = 0.5
+RETRY_JITTER = 0.5
 # Share of callers on an open queue that came without a key.
 OPEN_SHARE = 1.0
 
 
-def load_of(state: State, service: str) -> ServiceLoad:
+def service_load(state: State, service: str) -> ServiceLoad:
     """
     Give what waits for a service.
 
@@ -40,11 +40,11 @@
     """
     load = state.overload.services.get(service)
     if load is None:
-        load = state.overload.services[service] = ServiceLoad(sampled_s=state.now_s)
+        load = state.overload.services[service] = ServiceLoad(sampled_at_s=state.now_s)
     return load
 
 
-def count_held(state: State, size_bytes: int) -> None:
+def add_held_bytes(state: State, size_bytes: int) -> None:
     """
     Add to the length of the bodies held.
 
@@ -53,7 +53,7 @@
     """
     overload = state.overload
     overload.held_bytes += size_bytes
-    overload.most_held_bytes = max(overload.most_held_bytes, overload.held_bytes)
+    overload.peak_held_bytes = max(overload.peak_held_bytes, overload.held_bytes)
 
 
 def count_waiting(state: State, req: Request, step: int) -> None:
@@ -64,7 +64,7 @@
     :param req: the request.
     :param step: 1 or -1.
     """
-    load = load_of(state, req.service)
+    load = service_load(state, req.service)
     load.total += step
     left = load.waiting.get(req.team, 0) + step
     if left:
@@ -75,7 +75,7 @@
         load.busy = False
 
 
-def note_end(state: State, req: Request, run_s: float) -> None:
+def record_completion(state: State, req: Request, run_s: float) -> None:
     """
     Note that an attempt has run and ended.
 
@@ -83,7 +83,7 @@
     :param req: its request.
     :param run_s: seconds that it ran.
     """
-    load = load_of(state, req.service)
+    load = service_load(state, req.service)
     load.ended += 1
     weight = RUN_WEIGHT if load.run_s else 1.0
     load.run_s += weight * (run_s - load.run_s)
@@ -94,14 +94,14 @@
     Sample the rate of each service that was busy all the time since the last sample.
     """
     for load in state.overload.services.values():
-        elapsed_s = state.now_s - load.sampled_s
+        elapsed_s = state.now_s - load.sampled_at_s
         if elapsed_s < SAMPLE_S / 2:
             continue
         if load.busy:
             sample = load.ended / elapsed_s
             load.rate += (RATE_WEIGHT if load.rate else 1.0) * (sample - load.rate)
         load.ended = 0
-        load.sampled_s = state.now_s
+        load.sampled_at_s = state.now_s
         load.busy = load.total > 0
     return iter(())
 
@@ -115,10 +115,10 @@
     :param team: ``WORKSPACE/TEAM``.
     :returns: seconds; 0 when the rate is not known.
     """
-    load = load_of(state, service)
+    load = service_load(state, service)
     if load.total == 0 or load.rate <= 0:
         return 0.0
-    own = load.waiting.get(team, 0) / (load.rate * _part(state, load, team))
+    own = load.waiting.get(team, 0) / (load.rate * _weight_fraction(state, load, team))
     return min(load.total / load.rate, own)
 
 
@@ -131,7 +131,7 @@
     :param timeout_s: seconds that its caller waits.
     :returns: the time.
     """
-    run_s = load_of(state, queue.service).run_s
+    run_s = service_load(state, queue.service).run_s
     return state.now_s + min(queue.max_wait_s, max(timeout_s / 2, timeout_s - RUN_MARGIN * run_s))
 
 
@@ -172,10 +172,10 @@
     :returns: seconds.
     """
     least_s = min(max(wait_s, MIN_RETRY_S), MAX_RETRY_S)
-    return round(least_s * (1 + RETRY_SPREAD * state.rng.random()), 3)
+    return round(least_s * (1 + RETRY_JITTER * state.rng.random()), 3)
 
 
-def share_of(state: State, team_name: str) -> float:
+def team_share(state: State, team_name: str) -> float:
     """
     Give a team's weight.
 
@@ -193,13 +193,13 @@
     if 2 * queued < queue.max_queued:
         return False
     # The second half of the queue is kept for teams that hold less than their part of it.
-    load = load_of(state, queue.service)
-    return load.waiting.get(team, 0) >= queue.max_queued * _part(state, load, team)
+    load = service_load(state, queue.service)
+    return load.waiting.get(team, 0) >= queue.max_queued * _weight_fraction(state, load, team)
 
 
-def _part(state: State, load: ServiceLoad, team: str) -> float:
+def _weight_fraction(state: State, load: ServiceLoad, team: str) -> float:
     active = {*load.waiting, team}
-    shares = {name: share_of(state, name) for name in active}
+    shares = {name: team_share(state, name) for name in active}
     return shares[team] / sum(shares.values())
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_overload_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_overload_state.py
@@ -12,7 +12,7 @@
     :param waiting: waiting requests by team.
     :param total: waiting requests of all teams.
     :param ended: attempts that have ended since the last sample.
-    :param sampled_s: time of the last sample.
+    :param sampled_at_s: time of the last sample.
     :param busy: whether requests have waited since then.
     :param rate: requests worked off in a second while some waited, or 0 when not known.
     :param run_s: mean time that a request runs.
@@ -21,7 +21,7 @@
     waiting: dict[str, int] = msgspec.field(default_factory=dict)
     total: int = 0
     ended: int = 0
-    sampled_s: float = 0.0
+    sampled_at_s: float = 0.0
     busy: bool = False
     rate: float = 0.0
     run_s: float = 0.0
@@ -32,12 +32,12 @@
     Retries that a queue may still make.
 
     :param tokens: count of retries, with fractions.
-    :param firsts: first attempts made.
+    :param first_attempts: first attempts made.
     :param retries: retries made.
     """
 
     tokens: float
-    firsts: int = 0
+    first_attempts: int = 0
     retries: int = 0
 
 
@@ -49,4 +49,4 @@
     services: dict[str, ServiceLoad] = msgspec.field(default_factory=dict)
     budgets: dict[str, RetryBudget] = msgspec.field(default_factory=dict)
     held_bytes: int = 0
-    most_held_bytes: int = 0
+    peak_held_bytes: int = 0
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_retries.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_retries.py
@@ -9,7 +9,7 @@
 MAX_SAVED_RETRIES = 10.0
 
 
-def note_first(overload: OverloadState, queue: str) -> None:
+def record_first_attempt(overload: OverloadState, queue: str) -> None:
     """
     Note the first attempt of a request.
 
@@ -17,11 +17,11 @@
     :param queue: ``WORKSPACE/QUEUE``.
     """
     budget = _budget(overload, queue)
-    budget.firsts += 1
+    budget.first_attempts += 1
     budget.tokens = min(MAX_SAVED_RETRIES, budget.tokens + RETRY_SHARE)
 
 
-def try_take(overload: OverloadState, queue: str) -> bool:
+def try_acquire_retry(overload: OverloadState, queue: str) -> bool:
     """
     Take one retry from a queue's budget.
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_maker.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_maker.py
@@ -9,7 +9,7 @@
 
 from . import _membership, _snapshots_peer
 from ._effects import Emit, WriteLog
-from ._events import RecordWanted, Ticked
+from ._events import RecordProposed, Ticked
 from ._handlers import HandlerTable
 from ._log_follower import APPLIERS
 from ._log_state import NEVER_S
@@ -76,7 +76,7 @@
     yield WriteLog("snapshot.made", {"snapshot": making.raw.snapshot})
     base = state.fold.position.revisions.get(SNAPSHOT_SUBJECT, 0)
     body = {"snapshot": making.raw.snapshot, "offset": making.raw.offset}
-    yield Emit(RecordWanted(SNAPSHOT_MADE, SNAPSHOT_SUBJECT, base, body))
+    yield Emit(RecordProposed(SNAPSHOT_MADE, SNAPSHOT_SUBJECT, base, body))
 
 
 def on_append_failed(state: State, event: SnapshotAppendFailed) -> Iterator[object]:
--- a/packages/eelgrassdrum-core/tests/test_allowance_lease.py
+++ b/packages/eelgrassdrum-core/tests/test_allowance_lease.py
@@ -15,7 +15,7 @@
     reduce,
 )
 from eelgrassdrum_core._allowance_fold import HolderLease, TeamAllowance
-from eelgrassdrum_core._allowance_lease import EXTEND_BELOW_S, LEASE_S, lapse_wait_s
+from eelgrassdrum_core._allowance_lease import EXTEND_BELOW_S, LEASE_S, expiry_wait_s
 from eelgrassdrum_core._allowance_messages import ExtensionAsked, ExtensionGiven
 from eelgrassdrum_core._effects import Identity
 from eelgrassdrum_core._ids import Sender
@@ -78,9 +78,9 @@
     """
     A holder is reclaimed only after its lease and the margins have passed since it was seen.
     """
-    assert lapse_wait_s(0.0) > LEASE_S
-    assert reclaims(state, NOW_S + lapse_wait_s(0.0) - 0.01) == []
-    assert reclaims(state, NOW_S + lapse_wait_s(0.0)) == ["e2:1"]
+    assert expiry_wait_s(0.0) > LEASE_S
+    assert reclaims(state, NOW_S + expiry_wait_s(0.0) - 0.01) == []
+    assert reclaims(state, NOW_S + expiry_wait_s(0.0)) == ["e2:1"]
 
 
 def test_given_extension_delays_the_reclaim(state: State) -> None:
@@ -90,14 +90,14 @@
     given_s = NOW_S + 20.0
     assert ask(state, given_s) == [ExtensionGiven(RENEWED, 1.0)]
     assert "e2:1" not in reclaims(state, given_s + LEASE_S)
-    assert "e2:1" in reclaims(state, given_s + lapse_wait_s(0.0))
+    assert "e2:1" in reclaims(state, given_s + expiry_wait_s(0.0))
 
 
 def test_no_extension_once_a_reclaim_is_wanted(state: State) -> None:
     """
     A reclaimer that has asked the log for a reclaim gives no extension, however late the log is.
     """
-    late_s = NOW_S + lapse_wait_s(0.0)
+    late_s = NOW_S + expiry_wait_s(0.0)
     assert reclaims(state, late_s) == ["e2:1"]
     assert ask(state, late_s) == []
 
@@ -137,15 +137,15 @@
     assert asked(NOW_S + LEASE_S - EXTEND_BELOW_S + 1.0) == {"p-e2", "p-e3"}
 
 
-def takes(state: State, now_s: float, grace_s: float) -> bool:
+def can_acquire_unit(state: State, now_s: float, grace_s: float) -> bool:
     """
     Tell whether a unit can be taken at some time, and give it back.
     """
     team = Team("show/judges", "show", 1.0, 10, 0, grace_s)
     state.fold.allowances.teams[team.name] = TeamAllowance({"e1:1": 1})
     state.now_s = now_s
-    taken = _limits.try_take(state, team)
-    _limits.give_back(state, team.name)
+    taken = _limits.try_acquire_unit(state, team)
+    _limits.release_unit(state, team.name)
     return taken
 
 
@@ -154,15 +154,15 @@
     A unit is taken until the lease ends, or the team's grace after it, and not from then on.
     """
     end_s = NOW_S + LEASE_S
-    assert takes(state, end_s - 0.01, 0.0)
-    assert not takes(state, end_s, 0.0)
-    assert takes(state, end_s + 4.99, 5.0)
-    assert not takes(state, end_s + 5.0, 5.0)
+    assert can_acquire_unit(state, end_s - 0.01, 0.0)
+    assert not can_acquire_unit(state, end_s, 0.0)
+    assert can_acquire_unit(state, end_s + 4.99, 5.0)
+    assert not can_acquire_unit(state, end_s + 5.0, 5.0)
 
 
 def test_lease_check_sees_a_lease_without_end(state: State) -> None:
     """
     Without a look at the lease the same check finds a unit taken after its end.
     """
-    with patch.object(_limits, "usable_units", _limits.promised_units):
-        assert takes(state, NOW_S + 10 * LEASE_S, 0.0)
+    with patch.object(_limits, "usable_units", _limits.capped_units):
+        assert can_acquire_unit(state, NOW_S + 10 * LEASE_S, 0.0)
--- a/packages/eelgrassdrum-core/tests/test_fair.py
+++ b/packages/eelgrassdrum-core/tests/test_fair.py
@@ -2,7 +2,7 @@
 Fair queueing within one instance, and the accounts behind it.
 """
 
-from eelgrassdrum_core import _fair, _fair_accounts, _fair_room
+from eelgrassdrum_core import _fair, _fair_accounts, _fair_eviction
 from eelgrassdrum_core._fair_state import FairState
 from eelgrassdrum_core._requests import Request
 
@@ -82,7 +82,7 @@
     req = _fair.pop(fair, SERVICE, lambda req: True)
     assert req is not None
     _fair_accounts.open_charge(fair, "a", req, 1.0, 0.0)
-    assert account_s(fair, "x") == _fair_accounts.FIRST_ESTIMATE_S
+    assert account_s(fair, "x") == _fair_accounts.INITIAL_ESTIMATE_S
     _fair_accounts.accrue(fair, 5.0)
     assert account_s(fair, "x") == 5.0
     _fair_accounts.close_charge(fair, "a", 6.0, ran=True)
@@ -105,7 +105,7 @@
     for step in range(20):
         run_next(fair, {"busy": 1.0}, RUN_S, float(step))
         service = fair.services[SERVICE]
-        _fair_accounts.advance_level(service, step + 1.0, lambda name, team: name == "busy")
+        _fair_accounts.advance_virtual_time(service, step + 1.0, lambda name, team: name == "busy")
     fill(fair, "away", 1, now_s=30.0)
     assert abs(account_s(fair, "away") - account_s(fair, "busy")) <= RUN_S
 
@@ -117,7 +117,7 @@
     fill(fair, "x", 1)
     fill(fair, "y", 1)
     run_next(fair, {"x": 1.0, "y": 1.0}, 100.0, 0.0)
-    _fair_accounts.advance_level(fair.services[SERVICE], 200.0, lambda name, team: False)
+    _fair_accounts.advance_virtual_time(fair.services[SERVICE], 200.0, lambda name, team: False)
     assert account_s(fair, "x") == account_s(fair, "y")
 
 
@@ -165,11 +165,11 @@
     """
     fill(fair, "flood", 10)
     fill(fair, "small", 2)
-    excess = _fair_room.take_excess(fair, SERVICE, "show/scores", "small")
+    excess = _fair_eviction.evict_newest_excess(fair, SERVICE, "show/scores", "small")
     assert excess is not None
     assert (excess.team, excess.token) == ("flood", 9)
     assert fair.queued["show/scores"] == 11
-    assert _fair_room.take_excess(fair, SERVICE, "show/scores", "flood") is None
+    assert _fair_eviction.evict_newest_excess(fair, SERVICE, "show/scores", "flood") is None
 
 
 def test_tried_requests_keep_their_place(fair: FairState) -> None:
@@ -179,4 +179,4 @@
     fill(fair, "flood", 10)
     for req in fair.services[SERVICE].teams["flood"].normal:
         req.tries = 1
-    assert _fair_room.take_excess(fair, SERVICE, "show/scores", "small") is None
+    assert _fair_eviction.evict_newest_excess(fair, SERVICE, "show/scores", "small") is None
--- a/packages/eelgrassdrum-core/tests/test_overload.py
+++ b/packages/eelgrassdrum-core/tests/test_overload.py
@@ -69,7 +69,7 @@
     """
     A body that would pass the instance's bound is refused as not run.
     """
-    overload.count_held(state, 995)
+    overload.add_held_bytes(state, 995)
     refusal = overload.check(state, queue, "show/calm", 10, 30.0)
     assert refusal.code == refusals.OVERLOADED
 
@@ -95,8 +95,8 @@
     firsts = taken = 0
     for is_first in steps:
         if is_first:
-            retries.note_first(state, "q")
+            retries.record_first_attempt(state, "q")
             firsts += 1
         else:
-            taken += retries.try_take(state, "q")
+            taken += retries.try_acquire_retry(state, "q")
         assert taken <= retries.RETRY_SHARE * firsts + retries.MAX_SAVED_RETRIES + 1e-6
--- a/packages/eelgrassdrum-core/tests/test_request_path.py
+++ b/packages/eelgrassdrum-core/tests/test_request_path.py
@@ -94,7 +94,7 @@
     return request._replace(**changes)
 
 
-def only(kind: type, produced: list[object]) -> list:
+def effects_of_type(kind: type, produced: list[object]) -> list:
     """
     Give the effects of one type.
     """
@@ -109,10 +109,10 @@
     A request under a granted key is dispatched, and its answer goes to its own exchange.
     """
     _, produced = reduce(state, 2.0, submit(7, credential))
-    [dispatch] = only(effects.Dispatch, produced)
+    [dispatch] = effects_of_type(effects.Dispatch, produced)
     assert (dispatch.token, dispatch.endpoint, dispatch.team) == (7, "ep-1", "show/judges")
     _, produced = reduce(state, 2.5, events.AttemptAnswered(dispatch.attempt, 200, 5))
-    assert only(effects.Reply, produced) == [effects.Reply(7, dispatch.attempt)]
+    assert effects_of_type(effects.Reply, produced) == [effects.Reply(7, dispatch.attempt)]
     assert state.requests.open_tokens == {}
 
 
@@ -121,12 +121,12 @@
     An answer that comes twice is given once.
     """
     _, produced = reduce(state, 2.0, submit(7, credential))
-    [dispatch] = only(effects.Dispatch, produced)
+    [dispatch] = effects_of_type(effects.Dispatch, produced)
     answer = events.AttemptAnswered(dispatch.attempt, 200, 5)
     reduce(state, 2.5, answer)
     _, produced = reduce(state, 2.6, answer)
-    assert only(effects.Reply, produced) == []
-    assert only(effects.DropAnswer, produced) == [effects.DropAnswer(dispatch.attempt)]
+    assert effects_of_type(effects.Reply, produced) == []
+    assert effects_of_type(effects.DropAnswer, produced) == [effects.DropAnswer(dispatch.attempt)]
 
 
 def test_withdrawn_key_is_refused(state: State, credential: Credential) -> None:
@@ -140,7 +140,7 @@
     )
     reduce(state, 2.0, events.LogRead(records, 6))
     _, produced = reduce(state, 2.0, submit(7, credential))
-    [refuse] = only(effects.Refuse, produced)
+    [refuse] = effects_of_type(effects.Refuse, produced)
     assert refuse.refusal.code == refusals.KEY_REFUSED
 
 
@@ -149,11 +149,11 @@
     When bytes were sent and no answer came, the caller is told that the outcome is unknown.
     """
     _, produced = reduce(state, 2.0, submit(7, credential))
-    [dispatch] = only(effects.Dispatch, produced)
+    [dispatch] = effects_of_type(effects.Dispatch, produced)
     _, produced = reduce(state, 2.1, events.AttemptFailed(dispatch.attempt, True, "closed"))
-    [refuse] = only(effects.Refuse, produced)
+    [refuse] = effects_of_type(effects.Refuse, produced)
     assert refuse.refusal.code.run_state == refusals.UNKNOWN
-    assert only(effects.Dispatch, produced) == []
+    assert effects_of_type(effects.Dispatch, produced) == []
 
 
 def test_unsent_attempt_is_tried_again(state: State, credential: Credential) -> None:
@@ -161,10 +161,10 @@
     When no byte was sent, the request is dispatched again under a new attempt.
     """
     _, produced = reduce(state, 2.0, submit(7, credential))
-    [first] = only(effects.Dispatch, produced)
+    [first] = effects_of_type(effects.Dispatch, produced)
     reduce(state, 2.1, events.AttemptFailed(first.attempt, False, "connect"))
     _, produced = reduce(state, 3.0, events.Ticked())
-    [second] = only(effects.Dispatch, produced)
+    [second] = effects_of_type(effects.Dispatch, produced)
     assert second.token == 7
     assert second.attempt != first.attempt
 
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_shutdown.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_shutdown.py
@@ -57,7 +57,7 @@
     app.scheduler.call_later(app.settings.drain_timeout_s, partial(_end_drain, app))
 
 
-def on_leave(app: "App", _effect: effects.Leave) -> None:
+def on_leave(app: "App", _effect: effects.Exit) -> None:
     """
     End the process once the time to notice is over; the core asks again with each tick.
 
--- a/packages/eelgrassdrum-daemon/tests/test_app.py
+++ b/packages/eelgrassdrum-daemon/tests/test_app.py
@@ -38,8 +38,8 @@
     """
     When one effect of an event raises, the effects after it are carried out and a line is written.
     """
-    produced = [effects.WriteLog("first", {}), effects.Leave(), effects.WriteLog("last", {})]
-    made.app._effects[effects.Leave] = lambda _effect: 1 / 0
+    produced = [effects.WriteLog("first", {}), effects.Exit(), effects.WriteLog("last", {})]
+    made.app._effects[effects.Exit] = lambda _effect: 1 / 0
     for effect in produced:
         made.app._carry_out_safely(effect)
     assert made.lines == ["first", "instance.exception", "last"]
--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/_harness/_entries.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/_harness/_entries.py
@@ -204,7 +204,7 @@
     world.log_lines.append((entry.id, effect.action, effect.fields))
 
 
-def _leave(world: World, entry: Entry, effect: effects.Leave) -> None:
+def _leave(world: World, entry: Entry, effect: effects.Exit) -> None:
     entry.alive = False
 
 
@@ -241,5 +241,5 @@
     effects.SendPeer: _send_peer,
     effects.WriteLog: _write_log,
     effects.ObserveLatency: _ignore,
-    effects.Leave: _leave,
+    effects.Exit: _leave,
 }
--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/bench/_bench_overload.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/bench/_bench_overload.py
@@ -83,7 +83,7 @@
     Print what bounds memory and retries.
     """
     small = run_load(SEED, TENFOLD, SECONDS / 2, max_held_bytes=MEMORY_BYTES // 10)
-    held = max(entry.state.overload.most_held_bytes for entry in small.world.entries.values())
+    held = max(entry.state.overload.peak_held_bytes for entry in small.world.entries.values())
     yield measure("overload_most_body_bytes", held, "bytes", at_most=MEMORY_BYTES // 10)
     broken = run_load(SEED, ONCE / 2, SECONDS, _break_endpoints)
     budgets = [
@@ -91,7 +91,7 @@
         for entry in broken.world.entries.values()
         for budget in entry.state.overload.budgets.values()
     ]
-    firsts = sum(budget.firsts for budget in budgets)
+    firsts = sum(budget.first_attempts for budget in budgets)
     done = sum(budget.retries for budget in budgets)
     allowed = retries.RETRY_SHARE * firsts + retries.MAX_SAVED_RETRIES * len(budgets)
     yield measure("overload_first_attempts", firsts, "attempts")
--- a/packages/eelgrassdrum-testing/tests/test_fair_fleet.py
+++ b/packages/eelgrassdrum-testing/tests/test_fair_fleet.py
@@ -145,7 +145,7 @@
     for _ in range(100):
         world.now_s += world.tick_s
         for name in teams:
-            team = _fair_accounts.find_team(entry.state.fair, SERVICE, name)
+            team = _fair_accounts.get_team_queue(entry.state.fair, SERVICE, name)
             team.active_at_s = world.now_s
         _, produced = reduce(entry.state, world.now_s, events.Ticked())
         messages = [effect.message for effect in produced if isinstance(effect, effects.SendPeer)]
--- a/packages/eelgrassdrum-testing/tests/test_limits_faults.py
+++ b/packages/eelgrassdrum-testing/tests/test_limits_faults.py
@@ -151,7 +151,7 @@
 
 
 def forget_recovery(
-    allowances: _allowance_fold.AllowanceFold, instance: str, offset: int, *, lapsed: bool
+    allowances: _allowance_fold.AllowanceFold, instance: str, offset: int, *, expired: bool
 ) -> None:
     """
     Free a former holder's units at once, as the fold must not.
@@ -181,7 +181,7 @@
         lose_outcomes,
         _limits,
         "linger",
-        lambda state, attempt, team, endpoint: _limits.give_back(state, team),
+        lambda state, attempt, team, endpoint: _limits.release_unit(state, team),
     ),
     "promises are not kept": (shift_demand, _allowance_demand, "cede", keep_no_promise),
 }
--- a/packages/eelgrassdrum-testing/tests/test_outbox.py
+++ b/packages/eelgrassdrum-testing/tests/test_outbox.py
@@ -37,7 +37,7 @@
     body = {"workspace": "show", "key_id": f"k{number}", "number": number}
     base = None if kind == KEY_WITHDRAWN else 0
     subject = f"key/show/k{number}" if kind == KEY_WITHDRAWN else f"note/{number}"
-    deliver(world, entry, events.RecordWanted(kind, subject, base, body))
+    deliver(world, entry, events.RecordProposed(kind, subject, base, body))
 
 
 def noted(entry: Entry) -> list[int]:
