--- a/packages/eelgrassdrum-testing/tests/test_limits_faults.py
+++ b/packages/eelgrassdrum-testing/tests/test_limits_faults.py
@@ -115,7 +115,7 @@
     """
     Cut a holder off from the log and lose all extensions, so that only its lease stops it.
     """
-    with patch.object(_allowance_lease, "_give_extension", lambda *args: iter(())):
+    with patch.object(_allowance_lease, "_grant_extension", lambda *args: iter(())):
         passed = drive(world, 3.0, ["entry-a0", "entry-b0"])
         world.network.cuts.add(frozenset(("a", LOG)))
         return passed + drive(world, 80.0, ["entry-a0", "entry-b0"])
@@ -174,13 +174,13 @@
     "recovery asks no endpoint": (
         kill_holders,
         _allowance_recovery,
-        "_may_run",
+        "_possibly_running",
         lambda *_: 0,
     ),
     "lost outcomes free units": (
         lose_outcomes,
         _limits,
-        "linger",
+        "keep_uncertain",
         lambda state, attempt, team, endpoint: _limits.release_unit(state, team),
     ),
     "promises are not kept": (shift_demand, _allowance_demand, "cede", keep_no_promise),
