--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/__init__.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/__init__.py
@@ -1,19 +1,20 @@
 """
-Decisions of eelgrassdrum: typed events, state, the reducer and typed effects.
+Decision logic of eelgrassdrum: typed events, state, the reducer and typed effects.
 
-Names are imported when they are first asked for, so that a program that uses one part, such as
-`eelgrassdrum_core.jobs`, does not load all of them.
+Names are imported lazily, on first access, so that a program that uses only one part, such as
+`eelgrassdrum_core.jobs`, does not load the others.
 """
 
 from importlib import import_module
 from typing import Any
 
-# The names that each private module gives, or none where the module itself is given.
+# Public names of private modules that are exposed as a whole.
 _MODULE_ALIASES = {
     "effects": "_effects",
     "events": "_events",
     "refusals": "_refusals",
 }
+# Names exposed from each private module.
 _NAMES_OF_MODULE: dict[str, tuple[str, ...]] = {
     "_config": ("Queue", "Service", "Team"),
     "_config_schema": ("FLEET",),
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_admission.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_admission.py
@@ -1,5 +1,5 @@
 """
-Admission: whether a request that has arrived is taken, and for which team.
+Admission control: whether an incoming request is accepted, and for which team.
 """
 
 from collections.abc import Iterator
@@ -26,7 +26,7 @@
 from ._requests import Request
 from ._state import State
 
-# Team name of callers without a key on a queue that is open to all.
+# Name of the team that requests without an accepted key count for, on queues that need no key.
 OPEN_TEAM = "open"
 NO_ENDPOINT_RETRY_S = 1.0
 NOT_READY_RETRY_S = 1.0
@@ -36,7 +36,7 @@
 
 def on_request(state: State, event: RequestReceived) -> Iterator[object]:
     """
-    Take the request, let it join an earlier one with the same id, or refuse it at once.
+    Accept the request, attach it to an earlier one with the same id, or refuse it immediately.
     """
     if not state.log.caught_up:
         yield _refuse(state, event, Refusal(_refusals.NOT_READY, NOT_READY_RETRY_S))
@@ -69,7 +69,7 @@
 
 def on_claimed(state: State, event: RequestClaimed) -> Iterator[object]:
     """
-    Queue a request that no other instance may run.
+    Queue a request that this instance has claimed exclusively, or that needs no claim.
     """
     _overload.count_waiting(state, event.req, 1)
     _fair.push(state.fair, event.req, state.now_s)
@@ -78,7 +78,7 @@
 
 def on_claim_lost(state: State, event: ClaimLost) -> Iterator[object]:
     """
-    Refuse a request that another instance may have run.
+    Refuse a request whose claim was lost, because another instance may have run it.
     """
     known = state.joins.known.get(event.req.key)
     if known is None or known.req is not event.req:
@@ -97,7 +97,8 @@
 
 
 def _refuse(state: State, event: RequestReceived, refusal: Refusal) -> Refuse:
-    # After a pause the request may have waited here unseen, and a repeat run elsewhere.
+    # While this process was paused, the request may have waited unread in a socket buffer and a
+    # retry of it may have run at another instance.
     is_late = _membership.pause_s(state) > MAX_UNNOTICED_PAUSE_S
     told = _refusals.for_repeat(refusal) if event.repeat or is_late else refusal
     return Refuse(event.token, told)
@@ -119,7 +120,8 @@
 
 
 def _request_scope(queue: Queue, team: str, event: RequestReceived) -> str:
-    # On a queue open to all, a key counts for its team at one instance and not at another.
+    # Request ids are deduplicated across instances, so their scope must be the same on each. On an
+    # open queue it can't be the team: one instance may accept a key and another may not.
     if queue.keyed or event.credential is None:
         return team
     return f"{queue.workspace} {event.credential.digest}"
@@ -170,7 +172,7 @@
         max_run_s=queue.max_run_s,
         size_bytes=event.size_bytes,
         body_hash=event.body_hash,
-        # Without a claim nobody can tell whether a repeat of it runs elsewhere meanwhile.
+        # Idempotent requests are not claimed, so a retry may be running at another instance.
         may_have_run=event.idempotent,
         key=key,
     )
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_balance.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_balance.py
@@ -1,9 +1,10 @@
 """
-Balancing of a team's allowances among its holders, by the first of a few chosen holders.
+Balancing of a team's allowances among their holders.
 
-A balancer grants units that nobody holds, and moves units whose holders promised, for the
-revision that the record builds on, not to use them. So a record can be lost, repeated or
-overtaken without two holders using one unit.
+A few holders, chosen by rendezvous hashing, are the balancers of a team; the later ones act only
+when those before them don't. A balancer allocates free units, and moves units that their holders
+promised not to use at the revision that the record builds on. Therefore a record may be lost,
+repeated or overtaken without two holders using the same unit.
 """
 
 from collections.abc import Iterator, Mapping
@@ -28,25 +29,26 @@
 from ._limits import revision
 from ._state import State
 
-# Time for which the last report of a holder counts.
+# Age up to which the last report of a holder is valid.
 REPORT_VALID_S = 6.0
-# Time between two rounds of balancing.
 BALANCE_EVERY_S = 0.2
-# Time between two records of one team, and for the answers to a question.
+# Minimum time between two records of one team.
 MOVE_EVERY_S = 1.0
+# Time to wait for promises, and time after which holders are asked for them again.
 CESSION_WAIT_S = 0.2
 CESSION_RETRY_S = 1.0
-# Time for which a second or third balancer waits for those before it.
+# Additional delay of each further balancer, so that it acts only if those before it don't.
 TAKEOVER_DELAY_S = 1.5
-# Time after which units that nobody holds and nobody waits for are handed out.
+# Delay before free units without demand are allocated.
 ALLOCATE_SPARE_AFTER_S = 1.0
+# Rate and burst of this instance's allowance records.
 RECORDS_PER_S = 2.0
 RECORDS_BURST = 10.0
 
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Report the demand here, and balance the teams that fall to this instance.
+    Report this instance's demand, and balance the teams for which it is a balancer.
     """
     if own_lease(state) is None or state.limits.lease.released:
         return
@@ -69,7 +71,7 @@
 
 def on_peer(state: State, event: PeerReceived) -> Iterator[object]:
     """
-    Take in demand, questions and promises of other holders.
+    Process demand reports, cession requests and promises of other holders.
     """
     message = event.message
     if isinstance(message, DemandReported):
@@ -82,11 +84,11 @@
 
 def split_max_min(demands: Mapping[str, int], units: int) -> dict[str, int]:
     """
-    Split units so that the smallest part of those who want more is as large as it can be.
+    Split units by max-min fairness: the smallest part that is below its demand is maximized.
 
-    :param demands: units wanted by key.
+    :param demands: units demanded by key.
     :param units: units to split.
-    :returns: units by key; their sum is at most what there is.
+    :returns: units by key; their sum is at most `units`.
     """
     parts = dict.fromkeys(demands, 0)
     left = max(0, units)
@@ -176,7 +178,7 @@
     wanted = split_max_min(demands, units)
     spare = units - sum(wanted.values())
     base, extra = divmod(max(0, spare), max(1, len(demands)))
-    # Odd units go to holders in the order of their demand, the largest first.
+    # The remainder of the division goes to the holders with the largest demand.
     order = sorted(demands, key=lambda key: (-demands[key], key))
     return {key: wanted[key] + base + (place < extra) for place, key in enumerate(order)}
 
@@ -229,7 +231,8 @@
     allowance = state.fold.allowances.teams.get(team.name, TeamAllowance())
     ceded = view.ceded if view.asked_revision == current else {}
     changes = _changes(team, allowance, targets, ceded)
-    # A new revision ends promises that are not needed any more, also when nothing moves.
+    # When nothing moves, a record is still useful if promises cap a holder that could gain: its
+    # new revision ends them.
     if state.limits.balance.tokens < 1.0 or (not changes and not is_capped):
         return
     state.limits.balance.tokens -= 1.0
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_demand.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_demand.py
@@ -1,5 +1,5 @@
 """
-Demand for a team's units at this instance, reported to the team's balancers.
+This instance's demand for units of teams, and its reports to their balancers.
 """
 
 from collections.abc import Iterator
@@ -20,20 +20,20 @@
 from ._state import State
 
 REPORT_EVERY_S = 0.2
-# Time between two reports of a demand that is met, when it changes and when it does not.
+# Interval of reports about a satisfied demand, when it changes and when it doesn't.
 CHANGE_EVERY_S = 0.5
 REFRESH_S = 2.0
-# Time in which a peak of demand falls to a half.
+# Half-life of the exponential decay of peak demand.
 PEAK_HALF_LIFE_S = 0.4
-# Peak below which there is no demand left.
+# Peaks below this many units are dropped.
 MIN_PEAK = 0.5
-# Holders that may balance a team.
+# Number of holders that may balance a team.
 BALANCERS = 3
 
 
 def balancers(state: State, team: str) -> list[str]:
     """
-    Give the holders that balance a team, the first choice first.
+    Return the holders that may balance a team, in order of precedence.
 
     :param state: the state.
     :param team: ``WORKSPACE/TEAM``.
@@ -47,7 +47,7 @@
 
 def refresh_holders(state: State) -> None:
     """
-    Take over the holders from the fold; balancers are chosen among them.
+    Update the holders from the fold, and discard the choice of balancers when they change.
 
     :param state: changed in place.
     """
@@ -60,7 +60,7 @@
 
 def waiting_units(state: State) -> dict[str, int]:
     """
-    Count the waiting requests at this instance.
+    Return the number of requests that wait at this instance.
 
     :param state: the state.
     :returns: requests by team.
@@ -76,7 +76,7 @@
 
 def report(state: State) -> Iterator[object]:
     """
-    Tell the balancers of each team what this instance could use.
+    Report this instance's demand to the balancers of each team.
 
     :param state: the state.
     :returns: effects.
@@ -103,11 +103,11 @@
 
 def take_report(state: State, key: str, rows: tuple[TeamDemand, ...]) -> None:
     """
-    Remember a holder's demand.
+    Store the demand reported by a holder.
 
     :param state: changed in place.
     :param key: key of the holder.
-    :param rows: its demand.
+    :param rows: its demand by team.
     """
     views = state.limits.balance.teams
     for row in rows:
@@ -117,11 +117,11 @@
 
 def cede(state: State, rows: tuple[TeamUnits, ...]) -> tuple[TeamUnits, ...]:
     """
-    Promise to use no more than was asked, while the revisions stand.
+    Promise to use at most the requested units of each team while its revision is current.
 
     :param state: changed in place.
-    :param rows: units asked for.
-    :returns: the promises; running work may need more than was asked.
+    :param rows: the units that this instance is asked not to exceed.
+    :returns: the promises; more units than requested where running work uses more.
     """
     promises = []
     for row in rows:
@@ -140,11 +140,11 @@
 
 def answer_cession(state: State, sender: Sender, asked: CessionAsked) -> Iterator[object]:
     """
-    Answer a balancer's question.
+    Respond to a balancer's cession request with promises.
 
     :param state: changed in place.
     :param sender: the balancer.
-    :param asked: its question.
+    :param asked: its request.
     :returns: effects.
     """
     promises = cede(state, asked.rows)
@@ -154,7 +154,7 @@
 
 def send(state: State, key: str, message: object) -> Iterator[object]:
     """
-    Send a message to a holder whose address is known.
+    Send a message to a holder; dropped if its address is unknown.
 
     :param state: the state.
     :param key: key of the holder.
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_fold.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_fold.py
@@ -1,8 +1,8 @@
 """
-Allowances as decided by the log: who holds which part of a team's upper limit.
+Allowances as decided by the log: the part of a team's upper limit that each instance holds.
 
-The units held and the units under recovery never grow beyond the limit. Units of a holder that
-is gone stay counted until their work is known to have ended.
+The log accepts no increase by which the units held and the units under recovery would exceed the
+limit. Units of a fenced holder stay counted until their work is known to have ended.
 """
 
 from collections.abc import Callable
@@ -27,18 +27,18 @@
 REASON_NOT_HOLDER = "not_a_holder"
 REASON_OVER_LIMIT = "over_limit"
 
-# Holders that may reclaim another one's allowances.
+# Number of holders that are chosen to reclaim a holder's allowances.
 RECLAIMERS = 3
 
 
 class HolderLease(NamedTuple):
     """
-    An entry instance that may hold allowances.
+    The lease of an entry instance that may hold allowances.
 
     :param incarnation: its incarnation.
     :param zone: its availability zone.
-    :param renewed_offset: its last accepted renewal.
-    :param reclaimers: keys of the holders that may reclaim what it holds.
+    :param renewed_offset: offset of its last accepted renewal.
+    :param reclaimers: keys of the holders chosen to reclaim its allowances.
     """
 
     incarnation: int
@@ -49,11 +49,11 @@
 
 class FencedHolder(NamedTuple):
     """
-    A holder that is gone while its work may still run.
+    A former holder whose work may still be running.
 
-    :param offset: record that fenced it.
-    :param renewed_offset: its last accepted renewal.
-    :param expired: whether its lease had certainly ended by then.
+    :param offset: offset of the record that fenced it.
+    :param renewed_offset: offset of its last accepted renewal.
+    :param expired: whether its lease had certainly expired by then.
     """
 
     offset: int
@@ -63,10 +63,10 @@
 
 class TeamAllowance(msgspec.Struct):
     """
-    How a team's limit is split.
+    The allocation of a team's upper limit.
 
     :param held: units by key of the holder.
-    :param recovering: units of former holders whose work may still run.
+    :param recovering: units of former holders whose work may still be running, by key.
     """
 
     held: dict[str, int] = msgspec.field(default_factory=dict)
@@ -75,7 +75,7 @@
 
 class AllowanceFold(msgspec.Struct):
     """
-    Leases by instance, allowances by team, and former holders by key.
+    Leases by instance, allowances by team, and fenced holders by key.
     """
 
     holders: dict[str, HolderLease] = msgspec.field(default_factory=dict)
@@ -96,19 +96,19 @@
     """
     Order holders by rendezvous hashing.
 
-    :param name: what is to be shared out.
+    :param name: name of the duty for which holders are chosen.
     :param keys: keys of the holders.
-    :returns: the keys, the first choice first.
+    :returns: the keys in order of precedence.
     """
     return sorted(keys, key=lambda key: (xxhash.xxh64_intdigest(f"{name}|{key}".encode()), key))
 
 
 def registered_keys(allowances: AllowanceFold) -> dict[str, str]:
     """
-    Give the holders of now.
+    Return the current holders.
 
     :param allowances: the folded allowances.
-    :returns: instance by key.
+    :returns: ids of the instances by key.
     """
     return {
         f"{instance}:{lease.incarnation}": instance
@@ -120,10 +120,12 @@
     """
     Register an instance as a holder, or renew its lease.
 
+    A renewal by a new incarnation fences the holder's previous one.
+
     :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param offset: offset of the record.
     :param record: a ``holder.renewed`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason to reject the record, or an empty string.
     """
     instance, incarnation = record.id.writer, record.id.incarnation
     zone = record.body.get("zone")
@@ -142,12 +144,12 @@
 
 def apply_reclaim(fold: FoldView, offset: int, record: Record) -> str:
     """
-    Fence a holder whose lease has ended.
+    Fence a holder whose lease has expired.
 
     :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param offset: offset of the record.
     :param record: a ``holder.reclaimed`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason to reject the record, or an empty string.
     """
     instance = record.body.get("instance")
     lease = fold.allowances.holders.get(str(instance))
@@ -161,12 +163,12 @@
 
 def apply_release(fold: FoldView, offset: int, record: Record) -> str:
     """
-    Take back what a leaving holder holds, but for work of unknown outcome.
+    Release the units of a leaving holder, except those of work whose outcome is unknown.
 
     :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param offset: offset of the record.
     :param record: a ``holder.released`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason to reject the record, or an empty string.
     """
     instance = record.id.writer
     running = record.body.get("running")
@@ -187,9 +189,9 @@
     Set the units of some holders of a team.
 
     :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param offset: offset of the record.
     :param record: an ``allowance.moved`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason to reject the record, or an empty string.
     """
     try:
         name = str(record.body["team"])
@@ -217,9 +219,9 @@
     Free units under recovery whose work is known to have ended.
 
     :param fold: changed in place.
-    :param offset: the record's place in the log.
+    :param offset: offset of the record.
     :param record: an ``allowance.settled`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason to reject the record, or an empty string.
     """
     try:
         name, key = str(record.body["team"]), str(record.body["holder"])
@@ -267,7 +269,7 @@
         for instance, lease in allowances.holders.items()
         if not key.startswith(f"{instance}:")
     }
-    # One of each other zone first, so that the loss of a zone leaves some.
+    # One holder of each other zone is preferred, so that some remain when a zone fails.
     seen = {zone}
     first: list[str] = []
     rest: list[str] = []
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_lease.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_lease.py
@@ -1,8 +1,9 @@
 """
-Leases of holders: renewed in the log, extended by reclaimers while the log is out, reclaimed.
+Leases of holders: their renewal, extension and release, and the reclaim of expired ones.
 
-A holder counts its lease from before it sent the renewal; a reclaimer counts from after it saw
-it, and adds a margin for the rate of clocks. So a reclaim never overtakes a live lease.
+Leases are renewed in the log, and extended by reclaimers while the log is unavailable. A holder
+counts its lease from before it sent the renewal. A reclaimer counts from after it observed the
+renewal and adds a margin for clock drift, so a valid lease is never reclaimed.
 """
 
 from collections.abc import Iterator
@@ -32,27 +33,27 @@
 
 LEASE_S = 30.0
 RENEW_AFTER_S = 10.0
-# The same for a holder that lacks reclaimers.
+# The same for a holder without its full number of reclaimers.
 RENEW_UNPROTECTED_AFTER_S = 1.0
-# Time after which a renewal whose fate is open is wanted again.
+# Time after which a renewal without a known outcome is proposed again.
 RENEWAL_TIMEOUT_S = 60.0
-# Remaining lease below which a holder asks its reclaimers to wait.
+# Remaining lease below which a holder requests extensions from its reclaimers.
 EXTEND_BELOW_S = 15.0
 EXTEND_EVERY_S = 2.0
-# Longest time that a lease lives on extensions after its last renewal in the log.
+# Longest time after its last renewal in the log for which a lease can be extended.
 MAX_EXTENSION_S = 3600.0
-# Share by which two clocks may differ in rate, and time added for rounding.
+# Bound of the relative drift between two clocks, and time added for rounding.
 CLOCK_RATE_MARGIN = 0.01
 RECLAIM_MARGIN_S = 1.0
-# Longest time that a leaving instance waits for the log.
+# Longest time that a stopping instance waits until its release is in the log.
 RELEASE_WAIT_S = 5.0
-# Time between the attempts of two reclaimers, so that one record does.
+# Delay between the attempts of successive reclaimers, so that usually only one writes a record.
 RECLAIM_STAGGER_S = 1.0
 
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Keep the own lease, and watch those of others.
+    Renew or release this instance's lease, and watch the leases of others.
     """
     if not state.log.caught_up:
         return
@@ -66,7 +67,8 @@
 
 def on_folded(state: State, event: RecordFolded) -> Iterator[object]:
     """
-    Begin a new lease when the log took this instance's renewal; watch anew after a lost reclaim.
+    Start a new lease when this instance's renewal is accepted; restart a watch when its reclaim is
+    rejected.
     """
     record = event.record
     sender = state.identity.sender
@@ -87,7 +89,7 @@
 
 def on_peer(state: State, event: PeerReceived) -> Iterator[object]:
     """
-    Give or take an extension.
+    Grant a requested extension, or apply a granted one.
     """
     if isinstance(event.message, ExtensionAsked):
         yield from _grant_extension(state, event.sender, event.message)
@@ -97,21 +99,21 @@
 
 def is_drained(state: State) -> bool:
     """
-    Tell whether this instance is stopping and has no request left.
+    Return whether this instance is stopping and has no requests left.
 
     :param state: the state.
-    :returns: whether all it holds can go back.
+    :returns: whether its allowances can be released.
     """
     return state.stopping and not state.requests.open_tokens and not state.requests.attempts
 
 
 def may_exit(state: State) -> bool:
     """
-    Tell whether a stopping instance may end: the log has taken its allowances back, or could not
-    be reached for a while.
+    Return whether a stopping instance may exit.
 
     :param state: the state.
-    :returns: whether nothing is left to do.
+    :returns: whether it is drained, and the log has released its allowances or didn't do so within
+        `RELEASE_WAIT_S`.
     """
     if not is_drained(state):
         return False
@@ -122,10 +124,10 @@
 
 def own_lease(state: State) -> HolderLease | None:
     """
-    Give this instance's lease as the log has it.
+    Return this instance's lease according to the log.
 
     :param state: the state.
-    :returns: the lease, or ``None`` when it is no holder.
+    :returns: the lease, or ``None`` if this incarnation is not a holder.
     """
     sender = state.identity.sender
     lease = state.fold.allowances.holders.get(sender.instance)
@@ -155,7 +157,8 @@
 
 
 def _has_reclaimers(state: State) -> bool:
-    # Only a holder with reclaimers that live can have its lease extended while the log is out.
+    # While the log is unavailable, a lease is extended only if all its reclaimers grant it, so they
+    # must be current holders.
     own = own_lease(state)
     registered = registered_keys(state.fold.allowances)
     live = [] if own is None else [key for key in own.reclaimers if key in registered]
@@ -193,7 +196,8 @@
 def _grant_extension(state: State, sender: Sender, asked: ExtensionAsked) -> Iterator[object]:
     watch = state.limits.watches.get(holder_key(sender))
     peer = state.membership.peers.get(sender.instance)
-    # An instance whose own lease has ended may be reclaimed itself, so its word binds nobody.
+    # A reclaimer whose own lease has expired may itself be reclaimed, and no other instance is
+    # bound by an extension that it has granted.
     if watch is None or peer is None or state.limits.lease.until_s <= state.now_s:
         return
     if watch.reclaiming or watch.renewed_offset != asked.renewed_offset:
@@ -260,10 +264,10 @@
 
 def expiry_wait_s(grace_s: float) -> float:
     """
-    Give the time after which another instance's lease has certainly ended.
+    Return the time after which another instance's lease has certainly expired.
 
-    :param grace_s: seconds that it may go on after its lease.
-    :returns: seconds by this instance's clock, from after its renewal was seen.
+    :param grace_s: seconds for which it may continue after its lease expires.
+    :returns: seconds by this instance's clock, counted from when the renewal was observed.
     """
     return (LEASE_S + grace_s) * (1 + CLOCK_RATE_MARGIN) + RECLAIM_MARGIN_S
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_messages.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_messages.py
@@ -1,5 +1,5 @@
 """
-Record kinds and peer messages by which allowances are leased and moved.
+Record kinds and peer messages for leases and moves of allowances.
 """
 
 from typing import NamedTuple
@@ -16,11 +16,11 @@
 
 class TeamDemand(NamedTuple):
     """
-    What one holder could use of a team's limit.
+    A holder's demand for units of a team.
 
     :param team: ``WORKSPACE/TEAM``.
     :param revision: revision of the team's allowances that the holder has folded.
-    :param units: units running and waiting there.
+    :param units: units running and waiting at the holder, or a decayed recent peak of them.
     :param usable: units that the holder may run at this revision.
     """
 
@@ -36,7 +36,7 @@
 
     :param team: ``WORKSPACE/TEAM``.
     :param revision: revision of the team's allowances.
-    :param units: the number.
+    :param units: number of units.
     """
 
     team: str
@@ -47,7 +47,7 @@
 @register_message
 class DemandReported(NamedTuple):
     """
-    A holder's demand, sent to the balancers of the teams.
+    Report of a holder's demand to the balancers of the teams.
 
     :param rows: one per team.
     """
@@ -58,7 +58,7 @@
 @register_message
 class CessionAsked(NamedTuple):
     """
-    A balancer asks a holder to use at most the given units while the revision stands.
+    Request of a balancer that a holder use at most these units while the revision is current.
 
     :param rows: one per team.
     """
@@ -69,7 +69,7 @@
 @register_message
 class UnitsCeded(NamedTuple):
     """
-    A holder promises to use at most the given units while the revision stands.
+    Promise of a holder to use at most these units while the revision is current.
 
     :param rows: one per team.
     """
@@ -80,10 +80,10 @@
 @register_message
 class ExtensionAsked(NamedTuple):
     """
-    A holder that can't renew its lease in the log asks a reclaimer to wait.
+    Request of a holder that can't renew its lease in the log, sent to its reclaimers.
 
-    :param renewed_offset: the holder's last accepted renewal.
-    :param asked_at_s: the holder's own time, which comes back in the answer.
+    :param renewed_offset: offset of the holder's last accepted renewal.
+    :param asked_at_s: local time of the holder, returned in the response.
     """
 
     renewed_offset: int
@@ -93,10 +93,10 @@
 @register_message
 class ExtensionGiven(NamedTuple):
     """
-    A reclaimer counts the holder's lease from now.
+    Extension granted by a reclaimer, which counts the holder's lease from now.
 
-    :param renewed_offset: as asked.
-    :param asked_at_s: as asked.
+    :param renewed_offset: as in the request.
+    :param asked_at_s: as in the request.
     """
 
     renewed_offset: int
@@ -105,7 +105,7 @@
 
 def holder_key(sender: Sender) -> str:
     """
-    Give the name under which an instance holds allowances.
+    Return the key under which an instance holds allowances.
 
     :param sender: the instance.
     :returns: ``INSTANCE:INCARNATION``.
@@ -115,7 +115,7 @@
 
 def holder_subject(instance: str) -> str:
     """
-    Give the subject of an instance's lease.
+    Return the subject of records about an instance's lease.
 
     :param instance: id of the instance.
     :returns: the subject.
@@ -125,7 +125,7 @@
 
 def allowance_subject(team: str) -> str:
     """
-    Give the subject of a team's allowances.
+    Return the subject of records about a team's allowances.
 
     :param team: ``WORKSPACE/TEAM``.
     :returns: the subject.
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_recovery.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_recovery.py
@@ -1,8 +1,9 @@
 """
-Recovery of units whose work may still run: they stay counted until endpoints show that it ended.
+Recovery of units whose work may still be running.
 
-Endpoints tell in their probes what they run, and for which holder. An endpoint that can't be
-asked may still run as much as it has slots.
+They stay counted until the endpoints prove that the work has ended: their responses to probes list
+the running attempts with their holders. An endpoint that doesn't respond is assumed to run as many
+attempts as it has slots.
 """
 
 from collections import Counter
@@ -21,18 +22,18 @@
 
 PROBE_EVERY_S = 1.0
 PROBE_TIMEOUT_S = 1.0
-# Time after which no probe sent earlier, and no attempt still on its way, can arrive.
+# Longest time for which an attempt or an earlier probe may still be in transit.
 MAX_TRANSIT_S = 3.0
-# Time between the attempts of two settlers, so that one record does.
+# Delay between the attempts of successive settlers, so that usually only one writes a record.
 SETTLE_STAGGER_S = 3.0
 SETTLERS = 3
-# Grace assumed where the documents that set it are no longer kept.
+# Grace assumed when the documents that set it are no longer retained.
 UNKNOWN_GRACE_S = 86_400.0
 
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Ask endpoints for evidence, and free what has certainly ended.
+    Probe endpoints for evidence, and free units whose work has certainly ended.
     """
     _record_fenced(state)
     if not state.limits.recovery.uncertain and not _is_settler(state):
@@ -47,7 +48,7 @@
 
 def on_probed(state: State, event: EndpointProbed) -> Iterator[object]:
     """
-    Free the units of own attempts that the endpoint does not run any more.
+    Release the units of this instance's uncertain attempts that the endpoint no longer runs.
     """
     if event.running is None or not event.healthy:
         return
@@ -70,7 +71,7 @@
 
 def on_listed(state: State, event: InstancesListed) -> Iterator[object]:
     """
-    Free the units of attempts at endpoints that the platform no longer lists.
+    Release the units of uncertain attempts at endpoints that the platform no longer lists.
     """
     recovery = state.limits.recovery
     listed = {item.id for item in event.instances if item.role == "endpoint"}
@@ -82,11 +83,11 @@
 
 def max_grace_s(config: ConfigFold, team: str, since_offset: int) -> float:
     """
-    Give the longest grace that a holder may know of which read the log up to some offset.
+    Return the longest grace of a team in any document that a holder may be using.
 
     :param config: the folded configuration.
     :param team: ``WORKSPACE/TEAM``.
-    :param since_offset: the offset.
+    :param since_offset: offset up to which the holder has certainly read the log.
     :returns: seconds.
     """
     workspace, _, name = team.partition("/")
@@ -128,8 +129,9 @@
 
 
 def _settle_own(state: State) -> Iterator[object]:
-    # A holder that was fenced and came back counts its earlier work itself: it starts nothing
-    # while more runs than it holds.
+    # A holder that was fenced and then re-registered under the same key still counts its earlier
+    # work: it starts nothing while more units run than it holds. So only the excess stays in
+    # recovery.
     key = holder_key(state.identity.sender)
     for name, allowance in state.fold.allowances.teams.items():
         if key not in allowance.recovering:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_state.py
@@ -1,5 +1,5 @@
 """
-What one entry instance knows of allowances besides the log: its lease, demand and evidence.
+An instance's local state of allowances that isn't in the log: its lease, demand and evidence.
 """
 
 from typing import NamedTuple
@@ -13,8 +13,8 @@
     """
     Units that this instance promised not to exceed.
 
-    :param revision: revision of the team's allowances for which the promise holds.
-    :param units: the most that it uses.
+    :param revision: revision of the team's allowances for which the promise is valid.
+    :param units: maximum number of units in use.
     """
 
     revision: int
@@ -23,15 +23,16 @@
 
 class LeaseState(msgspec.Struct):
     """
-    This instance's own lease.
+    This instance's own lease; all times are local.
 
-    :param until_s: own time at which it ends.
-    :param sent_s: own time at which the last accepted renewal was sent.
-    :param renewal_proposed_at_s: own time of a renewal whose fate is open, or ``None``.
-    :param asked_at_s: own time of the last request for an extension.
-    :param extensions: own time of the request that each reclaimer granted.
-    :param released: whether this leaving instance asked the log to take back what it holds.
-    :param released_at_s: own time at which it did.
+    :param until_s: time at which it expires.
+    :param sent_s: time at which the last accepted renewal was sent.
+    :param renewal_proposed_at_s: time at which a renewal was proposed whose outcome isn't known
+        yet, or ``None``.
+    :param asked_at_s: time of the last request for an extension.
+    :param extensions: time of the request that each reclaimer granted, by key.
+    :param released: whether this instance is stopping and has proposed to release its allowances.
+    :param released_at_s: time at which it did so.
     """
 
     until_s: float = 0.0
@@ -45,12 +46,12 @@
 
 class LeaseWatch(msgspec.Struct):
     """
-    What this instance has seen of another holder's lease.
+    This instance's view of another holder's lease.
 
-    :param renewed_offset: the holder's last accepted renewal.
-    :param orphaned: whether all its reclaimers are gone.
-    :param since_s: own time from which its lease is counted.
-    :param reclaiming: whether this instance asked the log to reclaim it.
+    :param renewed_offset: offset of the holder's last accepted renewal.
+    :param orphaned: whether none of its reclaimers is a holder any more.
+    :param since_s: local time from which its lease is counted.
+    :param reclaiming: whether this instance has proposed to reclaim it.
     """
 
     renewed_offset: int
@@ -61,10 +62,10 @@
 
 class HolderDemand(NamedTuple):
     """
-    The last demand heard from a holder.
+    The last demand reported by a holder.
 
     :param row: the demand.
-    :param at_s: own time of its arrival.
+    :param at_s: local time of its arrival.
     """
 
     row: TeamDemand
@@ -73,14 +74,14 @@
 
 class TeamBalance(msgspec.Struct):
     """
-    A balancer's view of one team.
+    A balancer's view of one team; all times are local.
 
-    :param demands: last demand by key of the holder.
-    :param unbalanced_since_s: own time since which a holder could gain, or ``None``.
-    :param asked_revision: revision for which cessions were asked.
-    :param asked_at_s: own time of that question.
+    :param demands: last reported demand by key of the holder.
+    :param unbalanced_since_s: time since which units could be moved or allocated, or ``None``.
+    :param asked_revision: revision for which cessions were requested.
+    :param asked_at_s: time of the last request.
     :param ceded: units that each holder promised not to exceed at that revision.
-    :param moved_at_s: own time of the last record wanted.
+    :param moved_at_s: time of the last record proposed.
     """
 
     demands: dict[str, HolderDemand] = msgspec.field(default_factory=dict)
@@ -93,16 +94,16 @@
 
 class BalanceState(msgspec.Struct):
     """
-    Demand at this instance, and the teams that it balances.
+    Demand at this instance, and the teams that it balances; all times are local.
 
-    :param teams: view by team.
-    :param peaks: recent peak of the demand at this instance, by team.
-    :param reported: demand reported last, by team, with own time.
-    :param reported_at_s: own time of the last report.
-    :param balanced_at_s: own time of the last balancing.
+    :param teams: view of each team that this instance may balance.
+    :param peaks: decayed recent peak of the demand at this instance, by team.
+    :param reported: last reported demand by team, with its time.
+    :param reported_at_s: time of the last report.
+    :param balanced_at_s: time of the last balancing.
     :param ranks: balancers of each team, chosen among the holders.
     :param holders: keys of the holders.
-    :param tokens: records that may be written now.
+    :param tokens: records that may be proposed now; may be fractional.
     """
 
     teams: dict[str, TeamBalance] = msgspec.field(default_factory=dict)
@@ -117,11 +118,11 @@
 
 class UncertainAttempt(NamedTuple):
     """
-    An attempt of unknown outcome, which may still run.
+    An attempt whose outcome is unknown and which may still be running.
 
     :param team: ``WORKSPACE/TEAM``.
-    :param endpoint: where it was sent.
-    :param since_s: own time at which its outcome was lost.
+    :param endpoint: id of the endpoint that it was sent to.
+    :param since_s: local time at which it failed without a response.
     """
 
     team: str
@@ -131,9 +132,9 @@
 
 class EndpointObservation(NamedTuple):
     """
-    What an endpoint last said to run.
+    The running attempts that an endpoint last reported.
 
-    :param at_s: own time of its answer.
+    :param at_s: local time of its response.
     :param running: units by key of the holder and team.
     """
 
@@ -143,13 +144,13 @@
 
 class RecoveryState(msgspec.Struct):
     """
-    Evidence that work has ended.
+    Evidence that work has ended; all times are local.
 
     :param uncertain: attempts of this instance whose outcome is unknown, by id.
-    :param observations: last sight of each endpoint.
-    :param fenced_at_s: own time at which each former holder was seen to be fenced.
-    :param probed_at_s: own time of the last probes.
-    :param proposed: revision for which a settlement of a team and holder was wanted.
+    :param observations: last observation of each endpoint.
+    :param fenced_at_s: time at which each former holder was found to be fenced.
+    :param probed_at_s: time of the last probes.
+    :param proposed: last revision at which a settlement was proposed, by team and holder.
     """
 
     uncertain: dict[str, UncertainAttempt] = msgspec.field(default_factory=dict)
@@ -163,7 +164,7 @@
     """
     Upper limits at this instance.
 
-    :param running: units in use by team, with work of unknown outcome.
+    :param running: units in use by team, including work of unknown outcome.
     :param caps: promises made to balancers, by team.
     """
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_dispatch.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_dispatch.py
@@ -1,5 +1,5 @@
 """
-Dispatch: sends waiting requests to endpoints, and settles what comes back.
+Dispatch: sends waiting requests to endpoints and handles the outcomes of the attempts.
 """
 
 from collections.abc import Callable, Iterator
@@ -39,7 +39,7 @@
 
 def on_capacity(state: State, event: CapacityChanged) -> Iterator[object]:
     """
-    Start what can start now.
+    Start the waiting requests for which an endpoint and a unit of the upper limit are available.
     """
     services = list(state.fair.services) if event.service is None else [event.service]
     for service in services:
@@ -48,7 +48,7 @@
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Refuse what has waited too long, and look for free capacity.
+    Refuse requests that can't start in time any more, and check for free capacity.
     """
     for req in _remove_waiting(state, lambda req: req.start_by_s <= state.now_s):
         wait_s = _overload.predict_wait(state, req.service, req.team)
@@ -59,7 +59,7 @@
 
 def on_answered(state: State, event: AttemptAnswered) -> Iterator[object]:
     """
-    Give the answer to the caller of this attempt's request, or drop it.
+    Forward the response to the callers of this attempt's request, or drop it.
     """
     attempt = _end_attempt(state, event.attempt)
     if attempt is None:
@@ -83,7 +83,7 @@
 
 def on_refused(state: State, event: AttemptRefused) -> Iterator[object]:
     """
-    Queue the request again: the endpoint ran nothing.
+    Requeue a request that the endpoint refused before running it.
     """
     attempt = _end_attempt(state, event.attempt)
     if attempt is None:
@@ -95,7 +95,8 @@
         endpoint.retry_at_s = max(endpoint.retry_at_s, state.now_s + state.tuning.refused_pause_s)
     _limits.release_unit(state, attempt.request.team)
     _fair_accounts.close_charge(state.fair, attempt.id, state.now_s, ran=False)
-    # A full endpoint costs no retry: it gets nothing more from here for a moment.
+    # A refusal by a full endpoint doesn't count as a try; the endpoint is skipped for
+    # `refused_pause_s` instead.
     req = attempt.request
     req.tries -= 1
     yield from _requeue(state, req)
@@ -104,7 +105,7 @@
 
 def on_failed(state: State, event: AttemptFailed) -> Iterator[object]:
     """
-    Try again when that is safe, else say that the outcome is unknown.
+    Retry the request when that is safe; otherwise report that its outcome is unknown.
     """
     attempt = _end_attempt(state, event.attempt)
     if attempt is None:
@@ -131,7 +132,7 @@
 
 def on_slot_received(state: State, event: SlotReceived) -> Iterator[object]:
     """
-    Use a slot that another instance left to this one, whatever waits elsewhere.
+    Use a slot that another instance offered to this one, without regard to waiting teams elsewhere.
     """
     endpoint = state.endpoints.endpoints.get(event.endpoint)
     if endpoint is None or endpoint.in_flight >= endpoint.slots:
@@ -148,7 +149,7 @@
 
 def on_abandoned(state: State, event: RequestAbandoned) -> Iterator[object]:
     """
-    Forget a waiting request; let a running one end on its own.
+    Remove a waiting request whose caller has disconnected; a running attempt is not cancelled.
     """
     req = _joins.abandon(state, event.token)
     if req is None or any(a.request is req for a in state.requests.attempts.values()):
@@ -170,7 +171,7 @@
 
 
 def _may_start(state: State, req: Request) -> bool:
-    # After a pause the limit may have passed without a tick.
+    # After a pause of the process this time may have passed before a tick could refuse the request.
     if req.start_by_s <= state.now_s:
         return False
     team = state.fold.config.teams.get(req.team)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_effects.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_effects.py
@@ -1,5 +1,5 @@
 """
-Effects: everything that the reducer can ask the daemon to do.
+Effects: the actions that the reducer can request from the daemon.
 """
 
 from typing import Any, NamedTuple
@@ -11,7 +11,7 @@
 
 class Emit(NamedTuple):
     """
-    Reduce another event before this reduction ends.
+    Reduce another event before the current reduction ends.
 
     :param event: the event.
     """
@@ -24,11 +24,11 @@
     Send a request's body to an endpoint.
 
     :param attempt: id of the attempt.
-    :param token: the exchange whose body is sent.
+    :param token: token of the exchange whose body is sent.
     :param endpoint: id of the endpoint.
     :param address: ``IP:PORT`` of the endpoint.
-    :param timeout_s: seconds after which the attempt has failed.
-    :param request_id: the caller's id.
+    :param timeout_s: seconds after which the attempt fails.
+    :param request_id: request id chosen by the caller.
     :param team: ``WORKSPACE/TEAM``.
     :param queue: ``WORKSPACE/QUEUE``.
     :param holder: ``INSTANCE:INCARNATION`` of this instance.
@@ -47,10 +47,10 @@
 
 class Reply(NamedTuple):
     """
-    Give an attempt's answer to a caller.
+    Send the response of an attempt to a caller.
 
-    :param token: the exchange.
-    :param attempt: the attempt whose answer is given.
+    :param token: token of the exchange.
+    :param attempt: id of the attempt.
     """
 
     token: int
@@ -59,10 +59,10 @@
 
 class Refuse(NamedTuple):
     """
-    Refuse an exchange, at once.
+    Refuse the request of an exchange immediately.
 
-    :param token: the exchange.
-    :param refusal: why, and when to come back.
+    :param token: token of the exchange.
+    :param refusal: the reason, and when to retry.
     """
 
     token: int
@@ -71,9 +71,9 @@
 
 class DropAnswer(NamedTuple):
     """
-    Forget the answer of an attempt that nobody waits for.
+    Discard the response of an attempt that no caller waits for.
 
-    :param attempt: the attempt.
+    :param attempt: id of the attempt.
     """
 
     attempt: str
@@ -83,8 +83,8 @@
     """
     Read the control stream.
 
-    :param from_offset: first offset wanted.
-    :param wait_s: seconds that the log may hold the read until a record comes.
+    :param from_offset: first offset to read.
+    :param wait_s: seconds that the log may delay its response until a record is appended.
     :param delay_s: seconds to wait before reading.
     """
 
@@ -95,7 +95,7 @@
 
 class AppendRecords(NamedTuple):
     """
-    Append a batch to the control stream.
+    Append a batch of records to the control stream.
 
     :param records: the records, in order.
     :param delay_s: seconds to wait before appending.
@@ -113,11 +113,11 @@
 
 class ProbeEndpoint(NamedTuple):
     """
-    Ask an endpoint for its health on a connection of its own.
+    Request the health of an endpoint on a separate connection.
 
     :param endpoint: id of the endpoint.
     :param address: ``IP:PORT``.
-    :param timeout_s: seconds to wait for the answer.
+    :param timeout_s: seconds to wait for the response.
     """
 
     endpoint: str
@@ -127,10 +127,10 @@
 
 class SendPeer(NamedTuple):
     """
-    Send a message to another entry instance, without any promise that it arrives.
+    Send a message to another entry instance, without a guarantee of delivery.
 
     :param address: ``IP:PORT`` of the peer.
-    :param message: one of the types in the wire registry.
+    :param message: an instance of a type in the wire registry.
     """
 
     address: str
@@ -139,10 +139,10 @@
 
 class WriteLog(NamedTuple):
     """
-    Write one line of the structured log.
+    Write a line of the structured log.
 
-    :param action: what happened, such as ``log.unavailable``.
-    :param fields: more fields; never a secret.
+    :param action: name of the event, such as ``log.unavailable``.
+    :param fields: further fields; must not contain secrets.
     """
 
     action: str
@@ -151,12 +151,12 @@
 
 class ObserveLatency(NamedTuple):
     """
-    Count one finished request in the histograms.
+    Record the latency of a finished request in the histograms.
 
     :param queue: ``WORKSPACE/QUEUE``.
     :param team: ``WORKSPACE/TEAM``.
     :param wait_s: seconds from arrival to dispatch.
-    :param run_s: seconds from dispatch to answer.
+    :param run_s: seconds from dispatch to response.
     """
 
     queue: str
@@ -167,13 +167,13 @@
 
 class Exit(NamedTuple):
     """
-    Everything is handed back: end the process.
+    Exit the process; its allowances are released, or the wait for their release has timed out.
     """
 
 
 class Identity(NamedTuple):
     """
-    Who this instance is.
+    Identity and addresses of this instance.
 
     :param sender: id, incarnation and zone.
     :param address: ``IP:PORT`` for callers.
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_events.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_events.py
@@ -1,5 +1,5 @@
 """
-Events: everything that the reducer can be told.
+Events: the inputs of the reducer.
 """
 
 from typing import Any, NamedTuple
@@ -12,7 +12,7 @@
     """
     The process has started and its adapters are ready.
 
-    :param seed: seed of every random choice that the reducer makes.
+    :param seed: seed of the reducer's random number generator.
     """
 
     seed: int
@@ -20,7 +20,7 @@
 
 class Ticked(NamedTuple):
     """
-    Some time has passed; sent about ten times a second.
+    Time has passed; sent about ten times a second.
     """
 
 
@@ -32,18 +32,18 @@
 
 class RequestReceived(NamedTuple):
     """
-    A caller's whole request has arrived.
+    A complete request was received from a caller.
 
-    :param token: the daemon's name for the open exchange with the caller.
-    :param request_id: the caller's id of the request.
+    :param token: token by which the daemon identifies the open HTTP exchange with the caller.
+    :param request_id: request id chosen by the caller.
     :param queue: ``WORKSPACE/QUEUE``.
     :param credential: the key presented, or ``None``.
-    :param idempotent: whether running it twice does no harm.
-    :param urgent: whether it goes before others of its team.
-    :param timeout_s: seconds that the caller will wait, or ``None``.
+    :param idempotent: whether the request may safely run more than once.
+    :param urgent: whether it is served before the other requests of its team.
+    :param timeout_s: seconds that the caller will wait, or ``None`` for the default.
     :param size_bytes: length of the body.
-    :param body_hash: hash of the body, to tell a repeat from another request with the same id.
-    :param repeat: whether the caller says that it has sent the request before.
+    :param body_hash: hash of the body, to tell a retry from another request with the same id.
+    :param repeat: whether the caller marked the request as a retry.
     """
 
     token: int
@@ -60,9 +60,9 @@
 
 class RequestAbandoned(NamedTuple):
     """
-    The caller of an open exchange is gone.
+    The caller of an open exchange has disconnected.
 
-    :param token: the exchange.
+    :param token: token of the exchange.
     """
 
     token: int
@@ -70,11 +70,11 @@
 
 class AttemptAnswered(NamedTuple):
     """
-    An endpoint gave its whole answer.
+    A complete response was received from an endpoint.
 
     :param attempt: id of the attempt, as echoed by the endpoint.
-    :param status: HTTP status of the answer.
-    :param size_bytes: length of the answer's body.
+    :param status: HTTP status of the response.
+    :param size_bytes: length of the response body.
     """
 
     attempt: str
@@ -87,7 +87,7 @@
     An endpoint refused an attempt before running it.
 
     :param attempt: id of the attempt.
-    :param leaving: whether the endpoint said that it is leaving.
+    :param leaving: whether the endpoint reported that it is shutting down.
     """
 
     attempt: str
@@ -96,10 +96,10 @@
 
 class AttemptFailed(NamedTuple):
     """
-    An attempt ended without an answer.
+    An attempt ended without a response.
 
     :param attempt: id of the attempt.
-    :param sent: ``False`` only when certainly no byte of it was sent.
+    :param sent: ``False`` only if certainly no byte of the request was sent.
     :param reason: such as ``connect``, ``timeout``, ``closed`` or ``malformed``.
     """
 
@@ -110,11 +110,11 @@
 
 class LogRead(NamedTuple):
     """
-    A read of the control stream was answered.
+    A read of the control stream succeeded.
 
     :param records: the records read, in offset order.
     :param head: offset of the newest record in the stream.
-    :param first: offset of the oldest record that the log still keeps.
+    :param first: offset of the oldest record that the log retains.
     """
 
     records: tuple[StoredRecord, ...]
@@ -124,9 +124,9 @@
 
 class LogTruncated(NamedTuple):
     """
-    The log no longer keeps the offset that was asked for.
+    The log no longer retains the requested offset.
 
-    :param first: oldest offset kept.
+    :param first: oldest offset retained.
     :param head: newest offset.
     """
 
@@ -138,7 +138,7 @@
     """
     A read of the log failed.
 
-    :param reason: what the adapter saw.
+    :param reason: the error reported by the adapter.
     """
 
     reason: str
@@ -146,7 +146,7 @@
 
 class AppendDone(NamedTuple):
     """
-    The log has taken a batch of records.
+    The log has stored a batch of records.
 
     :param offsets: offset of each record of the batch.
     """
@@ -156,10 +156,10 @@
 
 class AppendFailed(NamedTuple):
     """
-    An append was refused, or its answer was lost.
+    An append was refused, or its response was lost.
 
-    :param reason: what the adapter saw.
-    :param may_have_effect: ``False`` only when the log certainly did not take the batch.
+    :param reason: the error reported by the adapter.
+    :param may_have_effect: ``False`` only if the log certainly did not store the batch.
     """
 
     reason: str
@@ -168,12 +168,12 @@
 
 class RecordFolded(NamedTuple):
     """
-    The fold has decided about a record.
+    A record was accepted or rejected by the fold.
 
-    :param offset: its place in the log.
+    :param offset: its offset in the log.
     :param record: the record.
     :param accepted: whether it took effect.
-    :param reason: why not, or empty.
+    :param reason: the reason for its rejection, or an empty string.
     """
 
     offset: int
@@ -184,19 +184,19 @@
 
 class ListedInstance(NamedTuple):
     """
-    One entry of the platform's instance list.
+    An entry of the platform's instance list.
 
     :param id: id of the instance.
     :param role: ``entry``, ``endpoint`` or ``worker``.
     :param address: ``IP:PORT`` for callers or attempts.
     :param zone: availability zone.
     :param state: ``live`` or ``leaving``.
-    :param incarnation: number that grows with each start.
+    :param incarnation: number that increases with each start.
     :param peer_address: ``IP:PORT`` for other entry instances.
-    :param rack: failure domain in the zone.
+    :param rack: failure domain within the zone.
     :param service: ``WORKSPACE/SERVICE`` that an endpoint runs.
-    :param slots: requests that an endpoint runs at once.
-    :param cores: processors of a worker.
+    :param slots: requests that an endpoint runs concurrently.
+    :param cores: processor cores of a worker.
     :param memory_gb: memory of a worker.
     :param accelerators: accelerators of a worker.
     """
@@ -228,7 +228,7 @@
 
 class RunningAttempt(NamedTuple):
     """
-    An attempt that an endpoint says is running there.
+    An attempt that an endpoint reports as running.
 
     :param attempt: id of the attempt.
     :param holder: instance and incarnation that sent it, ``INSTANCE:INCARNATION``.
@@ -242,13 +242,13 @@
 
 class EndpointProbed(NamedTuple):
     """
-    A probe of an endpoint ended.
+    A probe of an endpoint completed or failed.
 
     :param endpoint: id of the endpoint.
-    :param healthy: whether it answered in time.
-    :param leaving: whether it said that it is leaving.
+    :param healthy: whether it responded in time.
+    :param leaving: whether it reported that it is shutting down.
     :param incarnation: the endpoint's incarnation.
-    :param running: what runs there, or ``None`` when it did not say.
+    :param running: the attempts running there, or ``None`` if it did not report them.
     """
 
     endpoint: str
@@ -260,10 +260,10 @@
 
 class PeerReceived(NamedTuple):
     """
-    A message came from another entry instance.
+    A message was received from another entry instance.
 
-    :param sender: who sent it.
-    :param message: the decoded message, one of the types in the wire registry.
+    :param sender: the sending instance.
+    :param message: the decoded message, an instance of a type in the wire registry.
     """
 
     sender: Sender
@@ -272,11 +272,11 @@
 
 class RecordProposed(NamedTuple):
     """
-    A domain of this instance wants a record in the log.
+    A domain of this instance proposes a record for the log.
 
     :param kind: kind of the record.
-    :param subject: what it changes.
-    :param base: revision it builds on.
+    :param subject: the subject that it changes.
+    :param base: revision of the subject that it builds on, or ``None`` for any.
     :param body: its fields.
     """
 
@@ -288,12 +288,12 @@
 
 class RecordResolved(NamedTuple):
     """
-    One of this instance's own records was decided.
+    A record written by this instance was accepted or rejected.
 
     :param id: the record's id.
-    :param offset: its place in the log.
+    :param offset: its offset in the log.
     :param accepted: whether it took effect.
-    :param reason: why not, or empty.
+    :param reason: the reason for its rejection, or an empty string.
     """
 
     id: RecordId
@@ -304,9 +304,9 @@
 
 class CapacityChanged(NamedTuple):
     """
-    Something that queued requests wait for may be free now.
+    A resource that queued requests wait for may have become available.
 
-    :param service: the service to look at, or ``None`` for all.
+    :param service: the service to check, or ``None`` for all.
     """
 
     service: str | None = None
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair.py
@@ -1,5 +1,5 @@
 """
-Waiting requests of each service, ordered by weighted fair queueing over teams.
+Queues of waiting requests per service, served by weighted fair queueing among teams.
 """
 
 from collections.abc import Callable
@@ -11,12 +11,12 @@
 
 def push(fair: FairState, req: Request, now_s: float, *, at_front: bool = False) -> None:
     """
-    Let a request wait.
+    Add a request to its team's queue.
 
     :param fair: changed in place.
     :param req: the request.
-    :param now_s: time.
-    :param at_front: put it before others of its team, as after an attempt that did not run.
+    :param now_s: current time.
+    :param at_front: whether to put it before the others of its team, as for a retry.
     """
     team = get_team_queue(fair, req.service, req.team)
     mark_active(fair.services[req.service], team, now_s)
@@ -36,13 +36,13 @@
     ignore_ceiling: bool = False,
 ) -> Request | None:
     """
-    Take the request that is next by fair order.
+    Remove and return the next request in fair order.
 
     :param fair: changed in place.
     :param service_name: ``WORKSPACE/SERVICE``.
-    :param may_start: whether the first request of a team may start now.
-    :param ignore_ceiling: whether teams that wait elsewhere are left out of account.
-    :returns: the request, or ``None`` when none may start.
+    :param may_start: returns whether the first request of a team may start now.
+    :param ignore_ceiling: whether to ignore teams that wait at other instances.
+    :returns: the request, or ``None`` if none may start.
     """
     service = fair.services.get(service_name)
     if service is None:
@@ -50,7 +50,7 @@
     waiting = [team for team in service.teams.values() if is_waiting(team)]
     for team in sorted(waiting, key=lambda team: team.virtual_s):
         if team.virtual_s > service.ceiling_s and not ignore_ceiling:
-            # A team that only waits elsewhere was served less.
+            # A team that waits at another instance has been served less.
             return None
         requests = team.urgent or team.normal
         team.is_blocked = not may_start(requests[0])
@@ -63,7 +63,7 @@
 
 def is_waiting(team: TeamQueue) -> bool:
     """
-    Tell whether a team has requests waiting at this instance.
+    Return whether a team has requests waiting at this instance.
 
     :param team: the team's queue.
     :returns: whether it has.
@@ -73,7 +73,7 @@
 
 def count_waiting(team: TeamQueue) -> int:
     """
-    Count a team's waiting requests at this instance.
+    Return the number of a team's requests waiting at this instance.
 
     :param team: the team's queue.
     :returns: their number.
@@ -83,11 +83,11 @@
 
 def remove_where(fair: FairState, condition: Callable[[Request], bool]) -> list[Request]:
     """
-    Take out all waiting requests for which a condition holds.
+    Remove all waiting requests that satisfy a condition.
 
     :param fair: changed in place.
-    :param condition: whether to take a request out.
-    :returns: the requests taken out.
+    :param condition: returns whether to remove a request.
+    :returns: the removed requests.
     """
     removed: list[Request] = []
     for service in fair.services.values():
@@ -106,11 +106,11 @@
 
 def count_request(fair: FairState, req: Request, step: int) -> None:
     """
-    Count a request that begins or ceases to wait.
+    Update the counts of waiting requests when a request starts or stops waiting.
 
     :param fair: changed in place.
     :param req: the request.
-    :param step: 1 or -1.
+    :param step: 1 when it starts waiting, -1 when it stops.
     """
     fair.queued[req.queue] = fair.queued.get(req.queue, 0) + step
     size = step * req.size_bytes
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_accounts.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_accounts.py
@@ -1,8 +1,9 @@
 """
-Accounts of teams: what each has used of a service, at this instance and elsewhere.
+Accounting of each team's use of a service, at this instance and at others, as virtual time.
 
-The cost is the time that a slot was seen to be used. An attempt is charged the median of recent
-run times at its start, the elapsed time while it runs longer, and the difference at its end.
+The cost of an attempt is the time for which it was observed to use a slot. It is charged the
+median of recent run times at its start, the elapsed time while it runs longer, and the difference
+at its end.
 """
 
 from collections import deque
@@ -13,18 +14,20 @@
 from ._requests import Request
 
 INITIAL_ESTIMATE_S = 0.1
-# Time without demand after which a team gets no credit for being away.
+# Time without demand after which a team's virtual time is raised to the service's, so that it gets
+# no credit for the idle time.
 IDLE_S = 1.0
-# How far an account may lie behind or before the level, in seconds of the level's growth.
+# Bounds of a team's lag behind and lead over the service's virtual time, as the time in which the
+# latter grows by that much.
 MAX_LAG_S = 0.2
 MAX_LEAD_S = 30.0
-# Time in which the estimate of the level's growth follows a change.
+# Time constant of the moving average of the growth rate of the service's virtual time.
 RATE_TIME_CONSTANT_S = 3.0
 
 
 def get_team_queue(fair: FairState, service_name: str, team_name: str) -> TeamQueue:
     """
-    Give a team's queue for a service, made when it is new.
+    Return a team's queue for a service, creating it if necessary.
 
     :param fair: changed in place.
     :param service_name: ``WORKSPACE/SERVICE``.
@@ -40,11 +43,11 @@
 
 def mark_active(service: ServiceQueue, team: TeamQueue, now_s: float) -> None:
     """
-    Note that a team has demand; one that comes back gets no credit for the time it was away.
+    Record that a team has demand; a team that was idle gets no credit for the idle time.
 
     :param service: the service.
     :param team: changed in place.
-    :param now_s: time.
+    :param now_s: current time.
     """
     if now_s - team.active_at_s > IDLE_S:
         team.virtual_s = max(team.virtual_s, service.virtual_s)
@@ -53,13 +56,13 @@
 
 def open_charge(fair: FairState, attempt: str, req: Request, share: float, now_s: float) -> None:
     """
-    Charge an attempt at its start.
+    Charge an attempt its estimated run time when it starts.
 
     :param fair: changed in place.
     :param attempt: id of the attempt.
     :param req: its request.
     :param share: weight of its team.
-    :param now_s: time.
+    :param now_s: current time.
     """
     get_team_queue(fair, req.service, req.team).share = share
     charge = Charge(req.service, req.team, req.queue, now_s, 0.0)
@@ -69,10 +72,10 @@
 
 def accrue(fair: FairState, now_s: float) -> None:
     """
-    Charge attempts that run longer than they were charged for.
+    Charge attempts that have run longer than the time already charged.
 
     :param fair: changed in place.
-    :param now_s: time.
+    :param now_s: current time.
     """
     for charge in fair.charges.values():
         elapsed_s = now_s - charge.started_s
@@ -82,12 +85,12 @@
 
 def close_charge(fair: FairState, attempt: str, now_s: float, *, ran: bool) -> None:
     """
-    Correct the charge of an attempt at its end.
+    Correct the charge of an attempt to its actual run time when it ends.
 
     :param fair: changed in place.
     :param attempt: id of the attempt.
-    :param now_s: time.
-    :param ran: whether it may have run; otherwise it costs nothing.
+    :param now_s: current time.
+    :param ran: whether it may have run; otherwise its cost is zero.
     """
     charge = fair.charges.pop(attempt, None)
     if charge is None:
@@ -101,7 +104,7 @@
 
 def add_remote_usage(fair: FairState, service_name: str, team_name: str, cost_s: float) -> None:
     """
-    Add what other instances served to a team's account.
+    Add the use of a service at other instances to a team's virtual time.
 
     :param fair: changed in place.
     :param service_name: ``WORKSPACE/SERVICE``.
@@ -116,17 +119,17 @@
     service: ServiceQueue, now_s: float, is_waiting: Callable[[str, TeamQueue], bool]
 ) -> None:
     """
-    Move the level to the least served team that waits, and keep accounts near it.
+    Advance the service's virtual time to the waiting team with the lowest, and bound the others.
 
     :param service: changed in place.
-    :param now_s: time.
-    :param is_waiting: whether a team waits for slots, here or elsewhere.
+    :param now_s: current time.
+    :param is_waiting: returns whether a team waits for slots, here or at other instances.
     """
     waiting = [team for name, team in service.teams.items() if is_waiting(name, team)]
     elapsed_s = now_s - service.advanced_at_s
     service.advanced_at_s = now_s
     if not waiting:
-        # Without a queue everybody gets all they ask for, and nobody owes anything.
+        # Without a queue all demand is met, so earlier use no longer counts for or against a team.
         service.virtual_s = max(
             [service.virtual_s, *(team.virtual_s for team in service.teams.values())]
         )
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_eviction.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_eviction.py
@@ -1,7 +1,7 @@
 """
-Room in a full queue: the team with the longest line for its share gives way.
+Eviction from a full queue: the team with the most waiting requests per share gives way.
 
-Otherwise a team that floods a queue would keep all others out of it, whatever their shares.
+Otherwise a team that floods a queue would keep all other teams out, regardless of their shares.
 """
 
 from collections import deque
@@ -15,14 +15,14 @@
     fair: FairState, service_name: str, queue: str, team_name: str
 ) -> Request | None:
     """
-    Take out a waiting request of a team that has more than its part of a full queue.
+    Remove the newest waiting request of the team with the most requests per share in a full queue.
 
     :param fair: changed in place.
     :param service_name: ``WORKSPACE/SERVICE``.
     :param queue: ``WORKSPACE/QUEUE``.
-    :param team_name: team that needs room.
-    :returns: the newest request of the longest line, or ``None`` when the team that needs room
-        would have the longest line itself.
+    :param team_name: team whose new request needs space.
+    :returns: the removed request, or ``None`` if the other team would have no more requests per
+        share than this team has with its new request, or if all its requests were tried before.
     """
     service = fair.services.get(service_name)
     if service is None:
@@ -45,7 +45,7 @@
 
 def _take_newest(requests: deque[Request], queue: str) -> Request | None:
     for place in range(len(requests) - 1, -1, -1):
-        # A request that was tried may have run, so it can't be refused as not run.
+        # A request that was already tried may have run, so it can't be refused as not run.
         if requests[place].queue == queue and requests[place].tries == 0:
             req = requests[place]
             del requests[place]
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_exchange.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_exchange.py
@@ -1,9 +1,9 @@
 """
-Exchange of aggregates, so that what a team is served at one entry instance counts at all.
+Exchange of each team's use and waiting requests, so that fair queueing spans all entry instances.
 
-Each instance tells the peers in its zone what it served each team and how many requests wait.
-One instance of the zone, its relay, tells the sums to an instance of each other zone, which
-passes them on to its own peers. Numbers are totals, so that a lost message costs nothing.
+Each instance reports to the peers in its zone what it served each team and how many requests wait.
+One instance of the zone, its relay, reports the sums to an instance of each other zone, which
+forwards them to its own peers. The reports contain totals, so a lost one is made up by the next.
 """
 
 from collections.abc import Iterator
@@ -28,26 +28,30 @@
 
 SEND_EVERY_S = 0.1
 RELAY_EVERY_S = 0.1
-# Rows sent each second to the zone, and as many to other zones; with more the intervals grow.
+# Maximum rate of rows sent within the zone, and of rows sent to other zones; if there are more
+# rows, reports are sent less often.
 ROWS_PER_S = 400.0
-# Time for which what another instance told counts, at least and in intervals of its messages.
+# Age up to which the last report of a source is valid: the larger of a fixed time and a multiple
+# of the interval between its reports.
 SOURCE_VALID_S = 1.5
 SOURCE_VALID_INTERVALS = 3.0
-# Time after its last demand for which a team is told about.
+# Time after its last demand for which a team is reported.
 ROW_VALID_S = 3.0
-# How far a team may run before one that waits elsewhere, in seconds of the level's growth.
+# Lead over a team that waits elsewhere at which slots are left to that team, as the time in which
+# the service's virtual time grows by that much.
 SLACK_S = 0.05
-# Time after which slots left free are taken again when nobody used them, and for how long.
+# Time after which slots are no longer left to a waiting team whose virtual time doesn't grow, and
+# time for which the ceiling is then off.
 HOLD_MAX_S = 2.0
 CEILING_OFF_S = 5.0
 
-# Sources that are whole zones have names that no instance has.
+# Prefix of sources that are whole zones; ids of instances never start with it.
 ZONE_SOURCE_PREFIX = "zone "
 
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Bring accounts up to date, and tell the peers.
+    Update the virtual times, and send reports that are due.
     """
     accrue(state.fair, state.now_s)
     for name, service in state.fair.services.items():
@@ -61,7 +65,7 @@
 
 def on_peer(state: State, event: PeerReceived) -> Iterator[object]:
     """
-    Take in what others served.
+    Process a report of a peer or of another zone.
     """
     message = event.message
     own = state.identity.sender
@@ -85,12 +89,12 @@
 
 def remote_waiting(state: State, service: str, team: str) -> int:
     """
-    Count a team's requests that wait for a service at other instances.
+    Return the number of a team's requests that wait for a service at other instances.
 
     :param state: the state.
     :param service: ``WORKSPACE/SERVICE``.
     :param team: ``WORKSPACE/TEAM``.
-    :returns: their number, as last told.
+    :returns: their number according to the last valid reports.
     """
     return sum(
         source.waiting.get((service, team), 0)
@@ -101,11 +105,11 @@
 
 def is_valid(state: State, source: RemoteSource) -> bool:
     """
-    Tell whether what another instance told last still counts.
+    Return whether the last report of a source is recent enough to count.
 
     :param state: the state.
-    :param source: the other instance.
-    :returns: whether it was heard lately.
+    :param source: another instance or zone.
+    :returns: whether it is.
     """
     valid_s = max(SOURCE_VALID_S, SOURCE_VALID_INTERVALS * source.interval_s)
     return state.now_s - source.at_s < valid_s
@@ -113,9 +117,9 @@
 
 def update_ceiling(state: State, service_name: str) -> None:
     """
-    Set how far teams of this instance may run before those that wait elsewhere.
+    Set the virtual time above which teams leave slots to teams that wait at other instances.
 
-    :param state: the state.
+    :param state: changed in place.
     :param service_name: ``WORKSPACE/SERVICE``.
     """
     service = state.fair.services[service_name]
@@ -210,7 +214,7 @@
     for zone in zones:
         addresses = [member.peer_address for member in others if member.zone == zone]
         if addresses:
-            # Another instance each time, so that one that is gone costs only some messages.
+            # Receivers alternate, so that an unreachable instance loses only some of the reports.
             yield SendPeer(addresses[sequence // 2 % len(addresses)], message)
 
 
@@ -244,7 +248,7 @@
     state: State, exchange: FairExchange, source: RemoteSource, row: ServiceRow, is_peer: bool
 ) -> None:
     key = (row.service, row.team)
-    # What was served before this instance first heard of it is not counted.
+    # Use before the first report about this team from this source is not counted.
     step_s = row.served_s - source.served.get(key, row.served_s)
     source.served[key] = row.served_s
     team = get_team_queue(state.fair, row.service, row.team)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_messages.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_messages.py
@@ -1,5 +1,5 @@
 """
-Peer messages by which instances tell each other what they served.
+Peer messages by which instances report each team's use of services.
 """
 
 from typing import NamedTuple
@@ -9,12 +9,12 @@
 
 class ServiceRow(NamedTuple):
     """
-    One team's use of one service.
+    A team's use of a service.
 
     :param service: ``WORKSPACE/SERVICE``.
     :param team: ``WORKSPACE/TEAM``.
-    :param served_s: resource-seconds served since the origin started.
-    :param waiting: requests that wait for slots.
+    :param served_s: total resource-seconds served since the reporting instance started.
+    :param waiting: number of requests waiting for slots.
     """
 
     service: str
@@ -26,9 +26,9 @@
 @register_message
 class ServedReported(NamedTuple):
     """
-    What one instance served, for the peers of its zone.
+    Report of one instance to the peers in its zone.
 
-    :param sequence: number of the message.
+    :param sequence: sequence number of the report.
     :param rows: one per service and team.
     """
 
@@ -39,11 +39,11 @@
 @register_message
 class ZoneServedReported(NamedTuple):
     """
-    What a whole zone served, for other zones.
+    Report of a whole zone to other zones.
 
-    :param zone: the zone.
-    :param relay: key of the instance that counts.
-    :param sequence: number of the message.
+    :param zone: the reporting zone.
+    :param relay: key of the instance that computes the sums.
+    :param sequence: sequence number of the report.
     :param rows: one per service and team.
     """
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_offers.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_offers.py
@@ -1,7 +1,7 @@
 """
-Offers of free slots, so that a slot left to a team that waits elsewhere is used at once.
+Offers of free slots to other instances, so that a slot left to a team waiting there is used soon.
 
-An offer is a hint: whoever gets it tries the endpoint, and the endpoint still decides.
+An offer is only a hint: the receiver tries the endpoint, which may still refuse the attempt.
 """
 
 from collections.abc import Iterator
@@ -17,17 +17,17 @@
 from ._state import State
 from ._wire import register_message
 
-# Times that an offer is passed on inside the zone that it was sent to.
+# Maximum number of times that an offer is forwarded within the zone that it was sent to.
 MAX_HOPS = 1
 
 
 class SlotReleased(NamedTuple):
     """
-    An attempt of this instance has ended.
+    An attempt of this instance has ended and released its slot.
 
     :param service: ``WORKSPACE/SERVICE``.
     :param endpoint: id of the endpoint.
-    :param in_flight: attempts that this instance still had there.
+    :param in_flight: attempts that this instance still had in flight there at that time.
     """
 
     service: str
@@ -37,7 +37,7 @@
 
 class SlotReceived(NamedTuple):
     """
-    Another instance left a slot to this one.
+    Another instance has offered a slot to this one.
 
     :param service: ``WORKSPACE/SERVICE``.
     :param endpoint: id of the endpoint.
@@ -50,11 +50,11 @@
 @register_message
 class SlotOffered(NamedTuple):
     """
-    An endpoint has a slot that the sender leaves to the receiver.
+    Offer of a free slot at an endpoint to the receiver.
 
     :param service: ``WORKSPACE/SERVICE``.
     :param endpoint: id of the endpoint.
-    :param hops: times that the offer was passed on.
+    :param hops: number of times that the offer was forwarded.
     """
 
     service: str
@@ -64,7 +64,7 @@
 
 def on_slot_released(state: State, event: SlotReleased) -> Iterator[object]:
     """
-    Offer the slot elsewhere when nothing here took it.
+    Offer the slot to another instance if no request took it here.
     """
     endpoint = state.endpoints.endpoints.get(event.endpoint)
     if endpoint is None or endpoint.leaving or endpoint.in_flight > event.in_flight:
@@ -74,7 +74,7 @@
 
 def on_peer(state: State, event: PeerReceived) -> Iterator[object]:
     """
-    Try a slot that was offered, or pass the offer on.
+    Use an offered slot, or forward the offer.
     """
     offer = event.message
     if not isinstance(offer, SlotOffered):
@@ -91,7 +91,7 @@
     if team is None:
         return
     key = (offer.service, team)
-    # Passed-on offers stay in the zone, so that none wanders between zones.
+    # Forwarded offers stay within the zone, so that none is forwarded from zone to zone.
     sources = {
         name: source.waiting[key]
         for name, source in state.fair.exchange.sources.items()
@@ -109,7 +109,8 @@
 
 
 def _count_offer(state: State, chosen: str, key: tuple[str, str]) -> None:
-    # Until the next report, one request less waits there; so no more slots are left than needed.
+    # Assume until the next report that one request fewer waits there, so that no more slots are
+    # offered than needed.
     waiting = state.fair.exchange.sources[chosen].waiting
     waiting[key] -= 1
     if waiting[key] <= 0:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_state.py
@@ -1,5 +1,5 @@
 """
-State of fair queueing: waiting requests, accounts of teams, and what other instances serve.
+State of fair queueing: waiting requests, virtual times of teams, and reports of other instances.
 """
 
 from collections import deque
@@ -8,19 +8,22 @@
 
 from ._requests import Request
 
-# Run times remembered for an estimate.
+# Number of recent run times from which the run time is estimated.
 RUN_TIMES_KEPT = 32
 
 
 class TeamQueue(msgspec.Struct):
     """
-    One team's waiting requests for one service, and its account.
+    A team's waiting requests for a service, and its use of the service.
 
-    :param virtual_s: resource-seconds used over the whole fleet, divided by the team's share.
+    :param urgent: urgent requests, which are served first.
+    :param normal: the other requests.
+    :param virtual_s: virtual time: resource-seconds used in the whole fleet, divided by the share.
     :param served_s: resource-seconds used at this instance since it started.
     :param share: weight of the team.
-    :param active_at_s: time at which it last had demand anywhere.
-    :param is_blocked: whether only its upper limit keeps its requests waiting here.
+    :param active_at_s: time at which it last had demand at any instance.
+    :param is_blocked: whether its upper limit, and not a lack of slots, keeps its requests waiting
+        here.
     """
 
     urgent: deque[Request] = msgspec.field(default_factory=deque)
@@ -34,16 +37,16 @@
 
 class ServiceQueue(msgspec.Struct):
     """
-    All waiting requests for one service.
+    Waiting requests for one service.
 
     :param teams: queues by team.
-    :param virtual_s: level that the least served waiting team has reached.
-    :param rate: growth of the level, per second.
-    :param advanced_at_s: time at which the level was last looked at.
-    :param ceiling_s: account above which a team leaves slots to teams of other instances.
-    :param ceiling_team_s: account of the team for which slots are left free.
-    :param ceiling_since_s: time since which that account has not grown.
-    :param ceiling_off_until_s: time until which no slots are left free.
+    :param virtual_s: virtual time of the service, which follows the waiting team with the lowest.
+    :param rate: growth of the virtual time per second.
+    :param advanced_at_s: time at which the virtual time was last advanced.
+    :param ceiling_s: virtual time above which a team leaves slots to teams at other instances.
+    :param ceiling_team_s: virtual time of the team to which slots are left.
+    :param ceiling_since_s: time since which that virtual time hasn't changed.
+    :param ceiling_off_until_s: time until which no slots are left to other instances.
     """
 
     teams: dict[str, TeamQueue] = msgspec.field(default_factory=dict)
@@ -58,13 +61,13 @@
 
 class Charge(msgspec.Struct):
     """
-    What a running attempt was charged so far.
+    Resource-seconds charged for a running attempt.
 
     :param service: ``WORKSPACE/SERVICE``.
     :param team: ``WORKSPACE/TEAM``.
     :param queue: ``WORKSPACE/QUEUE``.
     :param started_s: time of dispatch.
-    :param charged_s: resource-seconds charged.
+    :param charged_s: resource-seconds charged so far.
     """
 
     service: str
@@ -76,14 +79,14 @@
 
 class RemoteSource(msgspec.Struct):
     """
-    What one other instance, or one other zone, last told.
+    The last report of another instance or another zone.
 
-    :param origin: key of the instance that counts.
-    :param sequence: number of its last message.
-    :param at_s: own time of its arrival.
-    :param interval_s: time between its last two messages.
+    :param origin: key of the instance that computed the report.
+    :param sequence: sequence number of the report.
+    :param at_s: local time of its arrival.
+    :param interval_s: time between the last two reports.
     :param served: resource-seconds by service and team.
-    :param waiting: waiting requests by service and team.
+    :param waiting: waiting requests by service and team, less the slots offered since the report.
     """
 
     origin: str
@@ -96,13 +99,14 @@
 
 class FairExchange(msgspec.Struct):
     """
-    Aggregates exchanged with other entry instances.
-
-    :param sources: by id of a zone peer, or by name of another zone.
-    :param zone_served: resource-seconds of the zone peers, as seen here.
-    :param sequence: number of the last message sent.
-    :param send_at_s: time of the next message to zone peers.
-    :param relay_at_s: time of the next message to other zones.
+    Reports exchanged with other entry instances.
+
+    :param sources: last reports by id of a zone peer, or by prefixed name of another zone.
+    :param zone_served: resource-seconds of the zone peers, by service and team, counted from the
+        first report of each.
+    :param sequence: sequence number of the last report sent.
+    :param send_at_s: time of the next report to zone peers.
+    :param relay_at_s: time of the next report to other zones.
     """
 
     sources: dict[str, RemoteSource] = msgspec.field(default_factory=dict)
@@ -114,15 +118,15 @@
 
 class FairState(msgspec.Struct):
     """
-    Waiting requests by service, with counts by queue, and accounts of running attempts.
+    Waiting requests by service, with counts by queue, and charges of running attempts.
 
     :param services: queues by service.
-    :param queued: waiting requests by queue.
-    :param queued_bytes: bytes of their bodies by queue.
-    :param queued_by_team: waiting requests by queue and team.
-    :param charges: charges by attempt.
-    :param run_times: last observed run times by queue and team.
-    :param exchange: aggregates of other instances.
+    :param queued: number of waiting requests by queue.
+    :param queued_bytes: total length of their bodies by queue.
+    :param queued_by_team: number of waiting requests by queue and team.
+    :param charges: charges by attempt id.
+    :param run_times: recent run times by queue and team.
+    :param exchange: reports exchanged with other instances.
     """
 
     services: dict[str, ServiceQueue] = msgspec.field(default_factory=dict)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_handlers.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_handlers.py
@@ -1,9 +1,9 @@
 """
-Types of the tables that the reducer is composed of.
+Types of the handler tables from which the reducer is composed.
 """
 
 from collections.abc import Callable, Iterable, Mapping
 
-# Takes the state and one event, changes its own slice, and gives effects.
+# Called with the state and an event; changes its domain's part of the state and returns effects.
 Handler = Callable[..., Iterable[object]]
 HandlerTable = Mapping[type, Handler]
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_ids.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_ids.py
@@ -1,5 +1,5 @@
 """
-Names of instances, records and credentials.
+Identifiers of instances and records, and credentials of callers.
 """
 
 import hashlib
@@ -11,10 +11,10 @@
 
 class Sender(NamedTuple):
     """
-    The instance that a message or an attempt comes from.
+    The instance that sent a message or an attempt.
 
     :param instance: id of the instance.
-    :param incarnation: number that grows each time the instance starts anew.
+    :param incarnation: number that increases with each start of the instance.
     :param zone: availability zone.
     """
 
@@ -25,11 +25,11 @@
 
 class RecordId(NamedTuple):
     """
-    Id of one record, the same for every repeat of its append.
+    Id of a record; retries of its append use the same id.
 
     :param writer: id of the instance or operator that wrote it.
     :param incarnation: incarnation of the writer.
-    :param sequence: count of the writer's records in this incarnation, from 1.
+    :param sequence: sequence number of the writer's records in this incarnation, from 1.
     """
 
     writer: str
@@ -39,7 +39,7 @@
 
 class Credential(NamedTuple):
     """
-    A key as presented by a caller, without its secret.
+    A key presented by a caller, with the digest of its secret in place of the secret.
 
     :param key_id: id of the key.
     :param digest: SHA-256 of the secret, in hex.
@@ -51,7 +51,7 @@
 
 def digest_secret(secret: str) -> str:
     """
-    Give the digest under which a secret is known to the log.
+    Return the digest that the log stores for a secret.
 
     :param secret: the secret text.
     :returns: SHA-256 in hex.
@@ -61,10 +61,10 @@
 
 def parse_credential(text: str) -> Credential | None:
     """
-    Read a key's text, ``egd_KEYID_SECRET``.
+    Parse a key of the form ``egd_KEYID_SECRET``.
 
-    :param text: what the caller presented.
-    :returns: the credential, or ``None`` when the text is no key.
+    :param text: the text presented by the caller.
+    :returns: the credential, or ``None`` if the text is not a key.
     """
     prefix, _, rest = text.partition("_")
     key_id, separator, secret = rest.partition("_")
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_lifecycle.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_lifecycle.py
@@ -1,5 +1,5 @@
 """
-Start, list refresh and graceful stop of this instance.
+Start, refresh of the instance list, and graceful shutdown of this instance.
 """
 
 from collections.abc import Iterator
@@ -21,7 +21,7 @@
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Read the list again when it is time, and leave when nothing is left to do.
+    Refresh the instance list periodically, and exit once a graceful shutdown is complete.
     """
     if state.now_s - state.list_read_at_s >= state.tuning.list_interval_s:
         state.list_read_at_s = state.now_s
@@ -32,7 +32,7 @@
 
 def on_listed(state: State, event: InstancesListed) -> Iterator[object]:
     """
-    Take over the list.
+    Update the endpoints from the instance list.
     """
     _endpoints.update_from_list(state.endpoints, event.instances, state.now_s)
     yield Emit(CapacityChanged())
@@ -40,7 +40,7 @@
 
 def on_stop(state: State, event: StopRequested) -> Iterator[object]:
     """
-    Take no new requests; what was accepted is finished first.
+    Begin a graceful shutdown: refuse new requests and finish the accepted ones.
     """
     state.stopping = True
     yield WriteLog("instance.stopping", {"open": len(state.requests.open_tokens)})
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_limits.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_limits.py
@@ -1,8 +1,8 @@
 """
-Upper limits: whether this instance may start one more unit of a team.
+Upper limits: whether this instance may run one more unit of a team's work.
 
-An instance uses only units that the log says it holds, only while its lease lasts, and only as
-far as it made no promise to a balancer.
+An instance uses only units that the log assigns to it, only while its lease is valid, and no more
+than it has promised to a balancer.
 """
 
 from ._allowance_messages import allowance_subject, holder_key
@@ -13,7 +13,7 @@
 
 def revision(state: State, team_name: str) -> int:
     """
-    Give the revision of a team's allowances that this instance has folded.
+    Return the revision of a team's allowances up to which this instance has folded the log.
 
     :param state: the state.
     :param team_name: ``WORKSPACE/TEAM``.
@@ -24,11 +24,11 @@
 
 def held_units(state: State, team: Team) -> int:
     """
-    Give this instance's part of the limit in force, whatever its lease.
+    Return this instance's part of the current limit, regardless of its lease.
 
     :param state: the state.
     :param team: the team.
-    :returns: the units held; less when the limit was lowered below what is held in all.
+    :returns: the units held; proportionally fewer when the limit was lowered below the total held.
     """
     allowance = state.fold.allowances.teams.get(team.name)
     if allowance is None:
@@ -41,11 +41,11 @@
 
 def usable_units(state: State, team: Team) -> int:
     """
-    Give the units of a team that this instance may run now.
+    Return the units of a team that this instance may run now.
 
     :param state: the state.
     :param team: the team.
-    :returns: the units, running ones included.
+    :returns: the units, including those in use; 0 once the lease and the team's grace have expired.
     """
     if state.now_s >= state.limits.lease.until_s + team.grace_s:
         return 0
@@ -54,11 +54,11 @@
 
 def capped_units(state: State, team: Team) -> int:
     """
-    Give the units that this instance may run while its lease lasts.
+    Return the units of a team that this instance may run while its lease is valid.
 
     :param state: the state.
     :param team: the team.
-    :returns: the units held, or fewer when it made a promise to a balancer.
+    :returns: the units held, capped by a promise made to a balancer at the current revision.
     """
     held = held_units(state, team)
     cap = state.limits.caps.get(team.name)
@@ -69,11 +69,11 @@
 
 def try_acquire_unit(state: State, team: Team) -> bool:
     """
-    Take one unit when there is one to use.
+    Acquire one unit if one is available.
 
     :param state: changed in place.
     :param team: the team.
-    :returns: whether a unit was taken.
+    :returns: whether a unit was acquired.
     """
     running = state.limits.running.get(team.name, 0)
     if running >= usable_units(state, team):
@@ -84,7 +84,7 @@
 
 def release_unit(state: State, team_name: str) -> None:
     """
-    Return one unit whose work is known to have ended.
+    Release one unit whose work is known to have ended.
 
     :param state: changed in place.
     :param team_name: ``WORKSPACE/TEAM``.
@@ -96,7 +96,7 @@
 
 def keep_uncertain(state: State, attempt: str, team_name: str, endpoint: str) -> None:
     """
-    Keep the unit of an attempt whose work may still run.
+    Keep counting the unit of an attempt whose work may still be running.
 
     :param state: changed in place.
     :param attempt: id of the attempt.
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_overload.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_overload.py
@@ -1,9 +1,9 @@
 """
-Overload control: a request that cannot start in time is refused when it arrives.
+Overload control: a request that can't start in time is refused on arrival.
 
-The wait is predicted from the rate at which the service has worked off its queue. A team's wait
-follows from its own waiting requests and its part of the rate, so that one team's burst does not
-get another team's requests refused.
+The wait is predicted from the rate at which the service has processed its queue. A team's wait is
+predicted from its own waiting requests and its weighted fraction of the rate, so that a burst of
+one team doesn't cause another team's requests to be refused.
 """
 
 from collections.abc import Iterator
@@ -17,26 +17,26 @@
 from ._requests import Request
 from ._state import State
 
-# Samples are merged with this weight, so the rate follows a change in about a second.
+# Weights of new samples in the moving averages; the rate follows a change in about a second.
 RATE_WEIGHT = 0.2
 RUN_WEIGHT = 0.05
 SAMPLE_S = 0.1
-# An attempt may take this many times the mean before its caller's deadline.
+# Time left for an attempt before its caller's deadline, as a multiple of the mean run time.
 RUN_MARGIN = 2.0
 MIN_RETRY_S = 0.1
 MAX_RETRY_S = 30.0
 RETRY_JITTER = 0.5
-# Share of callers on an open queue that came without a key.
+# Share of all callers on an open queue that are served without a key.
 OPEN_SHARE = 1.0
 
 
 def service_load(state: State, service: str) -> ServiceLoad:
     """
-    Give what waits for a service.
+    Return the load of a service.
 
-    :param state: an entry is added when there is none.
+    :param state: changed in place; an entry is added for a new service.
     :param service: ``WORKSPACE/SERVICE``.
-    :returns: the entry.
+    :returns: the load.
     """
     load = state.overload.services.get(service)
     if load is None:
@@ -46,10 +46,10 @@
 
 def add_held_bytes(state: State, size_bytes: int) -> None:
     """
-    Add to the length of the bodies held.
+    Add to the total length of the bodies held, and update its maximum.
 
     :param state: changed in place.
-    :param size_bytes: length, negative when a body is let go.
+    :param size_bytes: length of a body; negative when the body is released.
     """
     overload = state.overload
     overload.held_bytes += size_bytes
@@ -58,11 +58,11 @@
 
 def count_waiting(state: State, req: Request, step: int) -> None:
     """
-    Note that a request begins or ends to wait.
+    Count a request that starts or stops waiting.
 
     :param state: changed in place.
     :param req: the request.
-    :param step: 1 or -1.
+    :param step: 1 when it starts waiting, -1 when it stops.
     """
     load = service_load(state, req.service)
     load.total += step
@@ -77,7 +77,7 @@
 
 def record_completion(state: State, req: Request, run_s: float) -> None:
     """
-    Note that an attempt has run and ended.
+    Record that an attempt has run and ended.
 
     :param state: changed in place.
     :param req: its request.
@@ -91,7 +91,7 @@
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Sample the rate of each service that was busy all the time since the last sample.
+    Sample the rate of each service that had waiting requests the whole time since the last sample.
     """
     for load in state.overload.services.values():
         elapsed_s = state.now_s - load.sampled_at_s
@@ -113,7 +113,7 @@
     :param state: the state.
     :param service: ``WORKSPACE/SERVICE``.
     :param team: ``WORKSPACE/TEAM``.
-    :returns: seconds; 0 when the rate is not known.
+    :returns: seconds; 0 if the rate is unknown.
     """
     load = service_load(state, service)
     if load.total == 0 or load.rate <= 0:
@@ -124,7 +124,10 @@
 
 def start_limit(state: State, queue: Queue, timeout_s: float) -> float:
     """
-    Give the time until which a new request must start for its answer to come in time.
+    Return the latest time at which a new request may start.
+
+    It is bounded by the longest wait of the queue and by the time that the response needs before
+    the caller's timeout, but leaves at least half of the timeout for waiting.
 
     :param state: the state.
     :param queue: its queue.
@@ -139,7 +142,7 @@
     state: State, queue: Queue, team: str, size_bytes: int, timeout_s: float
 ) -> Refusal | None:
     """
-    Tell whether a new request is refused because of what is already here.
+    Return a refusal if the current load rules out a new request.
 
     :param state: the state.
     :param queue: its queue.
@@ -165,10 +168,10 @@
 
 def retry_after(state: State, wait_s: float) -> float:
     """
-    Say when a repeat is useful, spread so that callers do not come back at one moment.
+    Return the delay after which a retry is useful, with jitter to avoid simultaneous retries.
 
-    :param state: the state, for its random numbers.
-    :param wait_s: seconds after which there is room.
+    :param state: the state, for its random number generator.
+    :param wait_s: seconds after which capacity is expected.
     :returns: seconds.
     """
     least_s = min(max(wait_s, MIN_RETRY_S), MAX_RETRY_S)
@@ -177,11 +180,11 @@
 
 def team_share(state: State, team_name: str) -> float:
     """
-    Give a team's weight.
+    Return a team's weight in fair queueing.
 
     :param state: the state.
     :param team_name: ``WORKSPACE/TEAM``.
-    :returns: its share; callers without a key have one of their own.
+    :returns: its share, or `OPEN_SHARE` for callers without a key.
     """
     team = state.fold.config.teams.get(team_name)
     return OPEN_SHARE if team is None else team.share
@@ -192,7 +195,7 @@
         return True
     if 2 * queued < queue.max_queued:
         return False
-    # The second half of the queue is kept for teams that hold less than their part of it.
+    # The second half of the queue is reserved for teams below their weighted fraction of the queue.
     load = service_load(state, queue.service)
     return load.waiting.get(team, 0) >= queue.max_queued * _weight_fraction(state, load, team)
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_overload_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_overload_state.py
@@ -7,15 +7,15 @@
 
 class ServiceLoad(msgspec.Struct):
     """
-    What waits for one service, and how fast it is worked off.
+    Requests waiting for one service, and the rate at which they are processed.
 
     :param waiting: waiting requests by team.
     :param total: waiting requests of all teams.
-    :param ended: attempts that have ended since the last sample.
+    :param ended: attempts that ended since the last sample.
     :param sampled_at_s: time of the last sample.
-    :param busy: whether requests have waited since then.
-    :param rate: requests worked off in a second while some waited, or 0 when not known.
-    :param run_s: mean time that a request runs.
+    :param busy: whether requests were waiting the whole time since the last sample.
+    :param rate: requests completed per second while others were waiting, or 0 if unknown.
+    :param run_s: moving average of the run time of a request, in seconds.
     """
 
     waiting: dict[str, int] = msgspec.field(default_factory=dict)
@@ -29,9 +29,9 @@
 
 class RetryBudget(msgspec.Struct):
     """
-    Retries that a queue may still make.
+    Token bucket of the retries of a queue.
 
-    :param tokens: count of retries, with fractions.
+    :param tokens: retries available; may be fractional.
     :param first_attempts: first attempts made.
     :param retries: retries made.
     """
@@ -43,7 +43,7 @@
 
 class OverloadState(msgspec.Struct):
     """
-    Load by service, retry budgets by queue, and the length of all bodies held.
+    Load by service, retry budgets by queue, and the total length of the bodies held.
     """
 
     services: dict[str, ServiceLoad] = msgspec.field(default_factory=dict)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_reduce.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_reduce.py
@@ -1,5 +1,5 @@
 """
-The reducer: one function over all events, composed of a table of handlers per domain.
+The reducer: one function over all events, composed from one table of handlers per domain.
 """
 
 from collections import defaultdict, deque
@@ -37,7 +37,7 @@
 from ._handlers import Handler, HandlerTable
 from ._state import State
 
-# Domains in the order in which they see an event.
+# Domains in the order in which their handlers are called for an event.
 DOMAINS: tuple[HandlerTable, ...] = (
     _log_follower.HANDLERS,
     _outbox.HANDLERS,
@@ -81,12 +81,12 @@
 
 def reduce(state: State, now_s: float, event: object) -> tuple[State, list[object]]:
     """
-    Take one event in.
+    Process an event, and the events emitted while processing it.
 
     :param state: the state, changed in place.
-    :param now_s: monotonic time in seconds; earlier times than the last are ignored.
-    :param event: one of the event types.
-    :returns: the state and the effects, in the order in which they are to be carried out.
+    :param now_s: monotonic time in seconds; a time before the last one is replaced by the last one.
+    :param event: an instance of one of the event types.
+    :returns: the state, and the effects in the order in which they must be carried out.
     """
     state.now_s = max(state.now_s, now_s)
     effects: list[object] = []
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_refusals.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_refusals.py
@@ -1,5 +1,5 @@
 """
-Refusals and failures that a caller can be told, each with a code.
+Refusals and failures that are reported to callers, each with a code.
 """
 
 from typing import Literal, NamedTuple
@@ -13,10 +13,10 @@
     """
     One kind of refusal.
 
-    :param name: code in the answer's ``error`` field.
+    :param name: code in the ``error`` field of the response.
     :param status: HTTP status.
-    :param run_state: whether the request certainly did not run.
-    :param message: text for people.
+    :param run_state: ``not_run`` if the request certainly did not run, else ``unknown``.
+    :param message: human-readable text.
     """
 
     name: str
@@ -27,11 +27,11 @@
 
 class Refusal(NamedTuple):
     """
-    A refusal of one request.
+    The refusal of one request.
 
-    :param code: its kind.
-    :param retry_after_s: seconds after which a repeat is useful, or ``None`` when it is not.
-    :param detail: more for people; holds nothing of another workspace.
+    :param code: the kind of refusal.
+    :param retry_after_s: seconds after which a retry is useful, or ``None`` if it never is.
+    :param detail: additional human-readable text; contains nothing about other workspaces.
     """
 
     code: RefusalCode
@@ -41,42 +41,51 @@
 
 def for_repeat(refusal: Refusal) -> Refusal:
     """
-    Give a refusal as told to a caller that has sent the request before.
+    Return a refusal with an unknown run state, for a request that may have run in an earlier try.
 
-    :param refusal: a refusal that says what is true of this exchange.
-    :returns: the same, but it says nothing about earlier exchanges of the request.
+    :param refusal: a refusal that describes only the current exchange.
+    :returns: the refusal for a caller that may have sent the request before.
     """
     return refusal._replace(code=refusal.code._replace(run_state=UNKNOWN))
 
 
-NOT_READY = RefusalCode("not_ready", 503, NOT_RUN, "this instance has no whole configuration yet")
-STOPPING = RefusalCode("stopping", 503, NOT_RUN, "this instance is leaving; try again elsewhere")
-UNKNOWN_QUEUE = RefusalCode("unknown_queue", 404, NOT_RUN, "there is no such queue for this key")
-KEY_REQUIRED = RefusalCode("key_required", 401, NOT_RUN, "this queue needs a key")
+NOT_READY = RefusalCode(
+    "not_ready", 503, NOT_RUN, "this instance has not loaded the whole configuration yet"
+)
+STOPPING = RefusalCode(
+    "stopping", 503, NOT_RUN, "this instance is shutting down; retry at another instance"
+)
+UNKNOWN_QUEUE = RefusalCode("unknown_queue", 404, NOT_RUN, "the queue does not exist")
+KEY_REQUIRED = RefusalCode("key_required", 401, NOT_RUN, "this queue requires a key")
 KEY_REFUSED = RefusalCode("key_refused", 401, NOT_RUN, "the key is wrong, unknown or withdrawn")
 KEY_UNVERIFIED = RefusalCode(
-    "key_unverified", 503, NOT_RUN, "withdrawals cannot be seen from here, so no key is taken"
+    "key_unverified", 503, NOT_RUN, "this instance cannot check keys against recent withdrawals"
 )
-KEY_FORBIDDEN = RefusalCode("key_forbidden", 403, NOT_RUN, "the key does not open this queue")
+KEY_FORBIDDEN = RefusalCode("key_forbidden", 403, NOT_RUN, "the key gives no access to this queue")
 BAD_REQUEST = RefusalCode("bad_request", 400, NOT_RUN, "the request is malformed")
 BODY_TOO_LARGE = RefusalCode("body_too_large", 413, NOT_RUN, "the body is larger than allowed")
 QUEUE_FULL = RefusalCode("queue_full", 503, NOT_RUN, "the queue is full")
-OVERLOADED = RefusalCode("overloaded", 503, NOT_RUN, "this instance is out of memory for bodies")
+OVERLOADED = RefusalCode(
+    "overloaded", 503, NOT_RUN, "this instance has no memory left for request bodies"
+)
 RETRIES_SPENT = RefusalCode(
-    "retries_spent", 503, NOT_RUN, "attempts did not start, and no more may be made now"
+    "retries_spent", 503, NOT_RUN, "no attempt started, and the retry budget is exhausted"
 )
 WAIT_TOO_LONG = RefusalCode("wait_too_long", 503, NOT_RUN, "the request could not start in time")
 LIMIT_REACHED = RefusalCode("limit_reached", 429, NOT_RUN, "the team's upper limit is reached")
-NO_ENDPOINT = RefusalCode("no_endpoint", 503, NOT_RUN, "no endpoint of the service can be reached")
+NO_ENDPOINT = RefusalCode("no_endpoint", 503, NOT_RUN, "no endpoint of the service is reachable")
 OUTCOME_UNKNOWN = RefusalCode(
-    "outcome_unknown", 502, UNKNOWN, "the request may have run, and its answer is lost"
+    "outcome_unknown", 502, UNKNOWN, "the request may have run, but its response was lost"
 )
-RUN_TIMEOUT = RefusalCode("run_timeout", 504, UNKNOWN, "the request did not answer in time")
+RUN_TIMEOUT = RefusalCode("run_timeout", 504, UNKNOWN, "the request did not finish in time")
 REQUEST_CONFLICT = RefusalCode(
-    "request_conflict", 409, UNKNOWN, "another request has used this request id"
+    "request_conflict", 409, UNKNOWN, "the request id was already used for another request"
 )
 HELD_ELSEWHERE = RefusalCode(
-    "held_elsewhere", 409, UNKNOWN, "another instance has taken the request; its outcome is there"
+    "held_elsewhere",
+    409,
+    UNKNOWN,
+    "another instance has claimed the request; only that instance knows its outcome",
 )
 UNRESOLVED = RefusalCode(
     "unresolved", 503, UNKNOWN, "instances that may know the request id cannot be reached"
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_requests.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_requests.py
@@ -1,5 +1,5 @@
 """
-The requests that this instance holds, from arrival to answer.
+Requests that this instance holds, from arrival to response.
 """
 
 import msgspec
@@ -7,25 +7,25 @@
 
 class Request(msgspec.Struct):
     """
-    One accepted request.
+    An accepted request.
 
-    :param token: the open exchange with the caller.
-    :param request_id: the caller's id.
+    :param token: token of the open HTTP exchange with the caller.
+    :param request_id: request id chosen by the caller.
     :param queue: ``WORKSPACE/QUEUE``.
     :param service: ``WORKSPACE/SERVICE``.
     :param team: ``WORKSPACE/TEAM``.
-    :param idempotent: whether running it twice does no harm.
-    :param urgent: whether it goes before others of its team.
+    :param idempotent: whether the request may safely run more than once.
+    :param urgent: whether it is served before the other requests of its team.
     :param arrived_s: time of arrival.
     :param deadline_s: time at which its caller gives up.
-    :param start_by_s: time until which it must have started.
-    :param max_run_s: seconds that it may run.
+    :param start_by_s: latest time at which it may start.
+    :param max_run_s: longest time that it may run, in seconds.
     :param size_bytes: length of its body.
-    :param tries: attempts made so far.
+    :param tries: attempts made so far, without those that the endpoint refused.
     :param body_hash: hash of its body.
-    :param may_have_run: whether it may have run without an answer, here or elsewhere.
-    :param is_counted: whether its first attempt is counted for the retry budget.
-    :param key: hash of its team and id, under which instances speak of it.
+    :param may_have_run: whether it may have run without a response, here or elsewhere.
+    :param is_counted: whether its first attempt is already counted for the retry budget.
+    :param key: hash of its scope and id, by which instances refer to it in messages.
     """
 
     token: int
@@ -49,7 +49,7 @@
 
 class Attempt(msgspec.Struct):
     """
-    One try to run a request at one endpoint.
+    One attempt to run a request at one endpoint.
 
     :param id: id of the attempt.
     :param request: the request.
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_retries.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_retries.py
@@ -1,17 +1,17 @@
 """
-Retry budgets: retries are at most a set share of a queue's first attempts.
+Retry budgets: the retries of a queue are limited to a fraction of its first attempts.
 """
 
 from ._overload_state import OverloadState, RetryBudget
 
 RETRY_SHARE = 0.1
-# A queue may save up this many retries, so that a quiet queue can get over a lost endpoint.
+# Size of the token bucket; it lets a queue with little traffic survive the loss of an endpoint.
 MAX_SAVED_RETRIES = 10.0
 
 
 def record_first_attempt(overload: OverloadState, queue: str) -> None:
     """
-    Note the first attempt of a request.
+    Count the first attempt of a request, which adds to the queue's retry budget.
 
     :param overload: changed in place.
     :param queue: ``WORKSPACE/QUEUE``.
@@ -27,7 +27,7 @@
 
     :param overload: changed in place.
     :param queue: ``WORKSPACE/QUEUE``.
-    :returns: whether the budget had one left.
+    :returns: whether a retry was left.
     """
     budget = _budget(overload, queue)
     if budget.tokens < 1.0:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_state.py
@@ -1,5 +1,5 @@
 """
-The whole state of one entry instance, a slice per domain.
+The complete state of one entry instance, with one part per domain.
 """
 
 import random
@@ -30,20 +30,20 @@
 
 class Tuning(msgspec.Struct, frozen=True):
     """
-    Settings of the decisions.
-
-    :param entry_instances: entry instances of the fleet.
-    :param default_timeout_s: seconds that a caller waits when it does not say.
-    :param refused_pause_s: seconds that an endpoint gets no work after it refused some.
-    :param max_tries: attempts for one request.
-    :param list_interval_s: seconds between two reads of the instance list.
-    :param log_wait_s: seconds that a read of the log waits for records.
-    :param log_retry_s: seconds between reads while the log is out.
-    :param max_held_bytes: length of all bodies that the instance holds at once.
-    :param key_freshness_s: age of the last proof of having heard of every withdrawal up to which
-        keys are taken.
-    :param snapshot_interval_s: seconds between two snapshots.
-    :param snapshot_records: records between two snapshots.
+    Settings of the decision logic.
+
+    :param entry_instances: number of entry instances in the fleet.
+    :param default_timeout_s: timeout of requests whose caller sets none, in seconds.
+    :param refused_pause_s: seconds without new attempts at an endpoint that refused one.
+    :param max_tries: maximum attempts per request.
+    :param list_interval_s: seconds between reads of the instance list.
+    :param log_wait_s: seconds that a read of the log waits for new records.
+    :param log_retry_s: seconds between reads while the log is unavailable.
+    :param max_held_bytes: maximum total length of the bodies that the instance holds.
+    :param key_freshness_s: keys are accepted only while the last proof that this instance knows of
+        every withdrawal is at most this old, in seconds.
+    :param snapshot_interval_s: seconds between snapshots.
+    :param snapshot_records: records between snapshots.
     """
 
     entry_instances: int = 9
@@ -61,7 +61,7 @@
 
 class Fold(msgspec.Struct):
     """
-    Everything that follows from the log alone.
+    State derived from the log alone, and therefore the same on all instances at the same offset.
     """
 
     position: LogPosition = msgspec.field(default_factory=LogPosition)
@@ -77,9 +77,9 @@
     """
     Requests at this instance.
 
-    :param attempts: attempts in flight by id.
-    :param open_tokens: accepted requests by exchange.
-    :param next_attempt: number of the next attempt.
+    :param attempts: attempts in flight, by attempt id.
+    :param open_tokens: ids of accepted requests, by token of the exchange.
+    :param next_attempt: sequence number of the next attempt.
     """
 
     attempts: dict[str, Attempt] = msgspec.field(default_factory=dict)
@@ -117,10 +117,10 @@
 
 def new_state(identity: Identity, tuning: Tuning) -> State:
     """
-    Give the state of an instance that has just started.
+    Return the initial state of an instance.
 
-    :param identity: who it is.
-    :param tuning: settings of the decisions.
+    :param identity: identity of the instance.
+    :param tuning: settings of the decision logic.
     :returns: the state.
     """
     return State(identity, tuning)
--- a/packages/eelgrassdrum-core/tests/test_allowance_fold.py
+++ b/packages/eelgrassdrum-core/tests/test_allowance_fold.py
@@ -1,5 +1,5 @@
 """
-Allowances in the log's fold.
+Tests of how records about allowances are folded.
 """
 
 from eelgrassdrum_core import RecordId, State, StoredRecord, Tuning, events, new_state, reduce
@@ -16,7 +16,7 @@
     state: State, kind: str, subject: str, body: dict, writer: str = "e1", incarnation: int = 1
 ) -> tuple[bool, str]:
     """
-    Fold one record that builds on the newest revision, and give its fate.
+    Fold a record that builds on the latest revision; return whether it was accepted and the reason.
     """
     position = state.fold.position
     offset = position.next_offset
@@ -29,7 +29,7 @@
 
 def publish(state: State, limit: int, grace_s: float = 0.0) -> None:
     """
-    Publish a document with one team.
+    Publish a workspace document with one team.
     """
     team = {"name": "judges", "share": 1.0, "limit": limit, "grace_s": grace_s}
     document = {"teams": [team]}
@@ -39,7 +39,7 @@
 
 def register(state: State, instance: str, incarnation: int = 1, zone: str = "a") -> None:
     """
-    Make an instance a holder.
+    Register an instance as a holder.
     """
     body = {"zone": zone, "sent_s": 0.0}
     write(state, "holder.renewed", f"holder/{instance}", body, instance, incarnation)
@@ -54,7 +54,7 @@
 
 def make_state() -> State:
     """
-    Give an instance that has folded two holders and a team with a limit of 10.
+    Return the state of an instance that has folded two holders and a team with a limit of 10.
     """
     state = new_state(Identity(Sender("observer", 1, "a"), "", ""), Tuning())
     publish(state, 10)
@@ -68,7 +68,7 @@
 
 def test_sum_stays_within_limit(state: State) -> None:
     """
-    A move that would make the units pass the limit is rejected and changes nothing.
+    A move that would raise the total above the limit is rejected and changes nothing.
     """
     assert move(state, {"e1:1": 6, "e2:1": 4}) == (True, "")
     assert move(state, {"e1:1": 7}) == (False, "over_limit")
@@ -78,7 +78,7 @@
 
 def test_lowered_limit_allows_only_decreases(state: State) -> None:
     """
-    While more is held than a lowered limit allows, units can be taken away but not given.
+    While the total held exceeds a lowered limit, units can be removed but not added.
     """
     move(state, {"e1:1": 6, "e2:1": 4})
     publish(state, 5)
@@ -88,7 +88,7 @@
 
 def test_only_holders_hold(state: State) -> None:
     """
-    Neither a writer nor a receiver of units may be without a lease.
+    A move is rejected if its writer or a receiver of units has no lease.
     """
     assert move(state, {"e1:1": 1}, writer="e3") == (False, "not_a_holder")
     assert move(state, {"e3:1": 1}) == (False, "not_a_holder")
@@ -97,7 +97,7 @@
 
 def test_replacement_holds_nothing_of_its_predecessor(state: State) -> None:
     """
-    A newer incarnation starts with no units, and those of the older one stay counted.
+    A new incarnation starts with no units, and those of its predecessor stay counted.
     """
     move(state, {"e1:1": 6, "e2:1": 4})
     register(state, "e2", incarnation=2)
@@ -108,7 +108,7 @@
 
 def test_settled_units_can_be_granted(state: State) -> None:
     """
-    Units under recovery are free once a settlement says so, and a settlement never adds any.
+    Units under recovery can be allocated after a settlement, which can only reduce them.
     """
     move(state, {"e1:1": 6, "e2:1": 4})
     reclaim = {"instance": "e2", "incarnation": 1}
@@ -124,7 +124,7 @@
 
 def test_reclaim_loses_against_renewal(state: State) -> None:
     """
-    A reclaim that was built before the holder's newest renewal is stale.
+    A reclaim that builds on a revision before the holder's latest renewal is rejected as stale.
     """
     base = state.fold.position.revisions["holder/e2"]
     register(state, "e2")
@@ -138,7 +138,7 @@
 
 def test_release_keeps_work_of_unknown_outcome(state: State) -> None:
     """
-    A leaving holder gives back all but the units that may still run.
+    A leaving holder releases all units except those whose work may still be running.
     """
     move(state, {"e1:1": 6, "e2:1": 4})
     write(state, "holder.released", "holder/e2", {"running": {TEAM: 1}}, "e2")
@@ -148,7 +148,7 @@
 
 def test_reclaimers_are_in_other_zones_first(state: State) -> None:
     """
-    Each other zone gives one reclaimer before any zone gives a second.
+    One reclaimer is chosen from each other zone before a second one is chosen from any zone.
     """
     for instance, zone in (("e3", "a"), ("e4", "b"), ("e5", "c"), ("e6", "c"), ("e7", "d")):
         register(state, instance, zone=zone)
@@ -160,7 +160,7 @@
 
 def test_grace_counts_as_long_as_a_holder_may_know_it(state: State) -> None:
     """
-    The longest grace since a holder's last renewal counts, and an unknown one counts as long.
+    The longest grace since a holder's last renewal applies, and a long one is assumed if unknown.
     """
     publish(state, 10, grace_s=60.0)
     known = state.fold.position.next_offset - 1
--- a/packages/eelgrassdrum-core/tests/test_allowance_lease.py
+++ b/packages/eelgrassdrum-core/tests/test_allowance_lease.py
@@ -1,5 +1,5 @@
 """
-Leases of holders: extensions and reclaims.
+Tests of the leases of holders: extension, expiry and reclaim.
 """
 
 from unittest.mock import patch
@@ -29,7 +29,7 @@
 
 def make_state() -> State:
     """
-    Give a holder with two reclaimers, which itself may reclaim the second holder.
+    Return the state of a holder with two reclaimers that may itself reclaim the other holders.
     """
     state = new_state(Identity(Sender("e1", 1, "a"), "", "p1"), Tuning())
     state.log.caught_up = True
@@ -47,7 +47,7 @@
 
 def ask(state: State, now_s: float, renewed: int = RENEWED) -> list[object]:
     """
-    Let the second holder ask for an extension; give the answers.
+    Let the second holder request an extension; return the responses.
     """
     asked = ExtensionAsked(renewed, 1.0)
     _, produced = reduce(state, now_s, events.PeerReceived(OTHER, asked))
@@ -60,7 +60,7 @@
 
 def reclaims(state: State, now_s: float) -> list[str]:
     """
-    Give the holders that the instance asks the log to reclaim at a tick.
+    Return the holders that the instance proposes to reclaim at a tick.
     """
     state.limits.lease.until_s = now_s + LEASE_S
     _, produced = reduce(state, now_s, events.Ticked())
@@ -76,7 +76,7 @@
 
 def test_reclaim_waits_for_more_than_a_lease(state: State) -> None:
     """
-    A holder is reclaimed only after its lease and the margins have passed since it was seen.
+    A holder is reclaimed only after its lease and the margins have passed since it was observed.
     """
     assert expiry_wait_s(0.0) > LEASE_S
     assert reclaims(state, NOW_S + expiry_wait_s(0.0) - 0.01) == []
@@ -85,7 +85,7 @@
 
 def test_given_extension_delays_the_reclaim(state: State) -> None:
     """
-    A reclaimer that gave an extension counts the whole lease from then.
+    A reclaimer that granted an extension counts the full lease from that time.
     """
     given_s = NOW_S + 20.0
     assert ask(state, given_s) == [ExtensionGiven(RENEWED, 1.0)]
@@ -95,7 +95,7 @@
 
 def test_no_extension_once_a_reclaim_is_wanted(state: State) -> None:
     """
-    A reclaimer that has asked the log for a reclaim gives no extension, however late the log is.
+    A reclaimer that has proposed a reclaim grants no extension, even if the log responds late.
     """
     late_s = NOW_S + expiry_wait_s(0.0)
     assert reclaims(state, late_s) == ["e2:1"]
@@ -104,7 +104,7 @@
 
 def test_no_extension_by_a_lapsed_reclaimer(state: State) -> None:
     """
-    An instance whose own lease has ended gives no extension, nor one for another renewal.
+    A reclaimer grants no extension after its own lease has expired, nor for a different renewal.
     """
     assert ask(state, NOW_S + 1.0, renewed=RENEWED + 1) == []
     assert ask(state, NOW_S + LEASE_S) == []
@@ -112,7 +112,7 @@
 
 def test_extension_needs_every_reclaimer(state: State) -> None:
     """
-    A lease goes on only when all reclaimers agree, and from the oldest question they agreed to.
+    A lease is extended only when all reclaimers grant it, counted from the oldest granted request.
     """
     lease = state.limits.lease
     first_s, second_s = NOW_S + 16.0, NOW_S + 18.0
@@ -125,7 +125,7 @@
 
 def test_extension_is_asked_of_reclaimers_only_when_needed(state: State) -> None:
     """
-    A holder asks its reclaimers when its lease is about to end, and not before.
+    A holder requests extensions only when its lease is about to expire.
     """
 
     def asked(now_s: float) -> set[str]:
@@ -139,7 +139,7 @@
 
 def can_acquire_unit(state: State, now_s: float, grace_s: float) -> bool:
     """
-    Tell whether a unit can be taken at some time, and give it back.
+    Return whether a unit can be acquired at the given time, and release it.
     """
     team = Team("show/judges", "show", 1.0, 10, 0, grace_s)
     state.fold.allowances.teams[team.name] = TeamAllowance({"e1:1": 1})
@@ -151,7 +151,7 @@
 
 def test_lapsed_lease_gives_no_unit(state: State) -> None:
     """
-    A unit is taken until the lease ends, or the team's grace after it, and not from then on.
+    Units can be acquired until the lease and the team's grace have expired, and not afterwards.
     """
     end_s = NOW_S + LEASE_S
     assert can_acquire_unit(state, end_s - 0.01, 0.0)
@@ -162,7 +162,7 @@
 
 def test_lease_check_sees_a_lease_without_end(state: State) -> None:
     """
-    Without a look at the lease the same check finds a unit taken after its end.
+    If the lease is ignored, the check of the previous test finds a unit acquired after its expiry.
     """
     with patch.object(_limits, "usable_units", _limits.capped_units):
         assert can_acquire_unit(state, NOW_S + 10 * LEASE_S, 0.0)
--- a/packages/eelgrassdrum-core/tests/test_fair.py
+++ b/packages/eelgrassdrum-core/tests/test_fair.py
@@ -1,5 +1,5 @@
 """
-Fair queueing within one instance, and the accounts behind it.
+Tests of fair queueing within one instance, and of the accounting of virtual time.
 """
 
 from eelgrassdrum_core import _fair, _fair_accounts, _fair_eviction
@@ -12,7 +12,7 @@
 
 def request(token: int, team: str, *, urgent: bool = False) -> Request:
     """
-    Make a request of a team.
+    Build a request of a team.
     """
     return Request(
         token, f"r{token}", "show/scores", SERVICE, team, False, urgent, 0.0, 9.0, 9.0, 9.0, 10
@@ -21,7 +21,7 @@
 
 def fill(fair: FairState, team: str, count: int, now_s: float = 0.0) -> None:
     """
-    Let some requests of a team wait.
+    Add requests of a team to its queue.
     """
     for token in range(count):
         _fair.push(fair, request(token, team), now_s)
@@ -29,7 +29,7 @@
 
 def run_next(fair: FairState, shares: dict[str, float], run_s: float, now_s: float) -> str:
     """
-    Start the next request and end it after some time; give its team.
+    Start the next request and end it after the given run time; return its team.
     """
     req = _fair.pop(fair, SERVICE, lambda req: True)
     assert req is not None
@@ -40,7 +40,7 @@
 
 def account_s(fair: FairState, team: str) -> float:
     """
-    Give a team's account.
+    Return a team's virtual time.
     """
     return fair.services[SERVICE].teams[team].virtual_s
 
@@ -50,7 +50,7 @@
 
 def test_starts_follow_shares(fair: FairState) -> None:
     """
-    A team with twice the share is served twice as often when both wait.
+    While both teams wait, a team with twice the share is served twice as often.
     """
     shares = {"x": 2.0, "y": 1.0}
     fill(fair, "x", 40)
@@ -76,7 +76,7 @@
 
 def test_running_work_is_charged_as_it_runs(fair: FairState) -> None:
     """
-    An attempt is charged an estimate at its start, more as it runs on, and what it took at its end.
+    An attempt is charged an estimate at first, the elapsed time if longer, and finally its run time.
     """
     fill(fair, "x", 1)
     req = _fair.pop(fair, SERVICE, lambda req: True)
@@ -96,7 +96,7 @@
 
 def test_idle_team_returns_at_the_level(fair: FairState) -> None:
     """
-    A team that was away neither has credit from that time nor owes for it.
+    A team that was idle is neither credited nor charged for the idle time.
     """
     fill(fair, "busy", 50)
     fill(fair, "away", 1)
@@ -112,7 +112,7 @@
 
 def test_accounts_meet_when_nobody_waits(fair: FairState) -> None:
     """
-    When nobody waits, what teams used before no longer matters.
+    When no team waits, earlier use no longer counts.
     """
     fill(fair, "x", 1)
     fill(fair, "y", 1)
@@ -123,7 +123,7 @@
 
 def test_changed_share_counts_from_now(fair: FairState) -> None:
     """
-    A new share changes what later work costs, not what was charged before.
+    A changed share applies to later charges only.
     """
     fill(fair, "x", 2)
     run_next(fair, {"x": 1.0}, 4.0, 0.0)
@@ -133,7 +133,7 @@
 
 def test_urgent_goes_first_in_its_team_only(fair: FairState) -> None:
     """
-    Urgent requests pass others of their team, but give it no larger share.
+    Urgent requests are served before others of their team, but don't increase its share.
     """
     fill(fair, "x", 3)
     fill(fair, "y", 3)
@@ -150,7 +150,7 @@
 
 def test_team_ahead_leaves_slots_to_others(fair: FairState) -> None:
     """
-    Above the ceiling nothing starts, unless another instance has left a slot to this one.
+    Requests of a team above the ceiling don't start, except in a slot offered by another instance.
     """
     fill(fair, "x", 2)
     fair.services[SERVICE].teams["x"].virtual_s = 2.0
@@ -161,7 +161,7 @@
 
 def test_flood_gives_way_in_a_full_queue(fair: FairState) -> None:
     """
-    In a full queue the longest line loses its newest request to a team with a shorter one.
+    A full queue evicts the newest request of the largest team in favour of a smaller team.
     """
     fill(fair, "flood", 10)
     fill(fair, "small", 2)
@@ -174,7 +174,7 @@
 
 def test_tried_requests_keep_their_place(fair: FairState) -> None:
     """
-    A request that was tried may have run, so it is never taken out as not run.
+    A request that was already tried is never evicted, because it may have run.
     """
     fill(fair, "flood", 10)
     for req in fair.services[SERVICE].teams["flood"].normal:
--- a/packages/eelgrassdrum-core/tests/test_overload.py
+++ b/packages/eelgrassdrum-core/tests/test_overload.py
@@ -1,5 +1,5 @@
 """
-Overload control: predicted waits, retry budgets and the split of slots.
+Tests of overload control: predicted waits, queue bounds and retry budgets.
 """
 
 from hypothesis import given, settings
@@ -21,7 +21,7 @@
 
 def make_state() -> State:
     """
-    Give an instance whose service works off ten requests a second.
+    Return the state of an instance whose service completes ten requests per second.
     """
     identity = Identity(Sender("entry-a1", 1, "a"), "127.0.0.1:1", "127.0.0.1:2")
     state = new_state(identity, Tuning(max_held_bytes=1000))
@@ -32,7 +32,7 @@
 
 def make_queue() -> Queue:
     """
-    Give a queue of the service.
+    Return a queue of the service.
     """
     return Queue("show/scores", "show", SERVICE, True, 100, 10_000, 3.0, 5.0)
 
@@ -42,7 +42,7 @@
 
 def test_a_request_that_cannot_start_in_time_is_refused_at_once(state: State, queue: Queue) -> None:
     """
-    A wait beyond the queue's bound is refused as not run, with the time until there is room.
+    A request predicted to wait too long is refused as not run, with a delay before a retry.
     """
     refusal = overload.check(state, queue, "show/flood", 10, 30.0)
     assert refusal.code == refusals.WAIT_TOO_LONG
@@ -52,7 +52,7 @@
 
 def test_retry_times_are_spread(state: State, queue: Queue) -> None:
     """
-    Callers refused at one moment are told different times.
+    Callers refused at the same time get different retry delays.
     """
     told = {overload.check(state, queue, "show/flood", 10, 30.0).retry_after_s for _ in range(20)}
     assert len(told) > 15
@@ -60,14 +60,14 @@
 
 def test_one_team_does_not_get_another_refused(state: State, queue: Queue) -> None:
     """
-    A team with nothing waiting is taken while another floods the queue.
+    A request of a team with nothing waiting is accepted while another team floods the queue.
     """
     assert overload.check(state, queue, "show/calm", 10, 30.0) is None
 
 
 def test_bodies_are_bounded(state: State, queue: Queue) -> None:
     """
-    A body that would pass the instance's bound is refused as not run.
+    A request whose body would exceed the instance's bound on held bytes is refused.
     """
     overload.add_held_bytes(state, 995)
     refusal = overload.check(state, queue, "show/calm", 10, 30.0)
@@ -76,7 +76,7 @@
 
 def test_second_half_of_a_queue_is_kept_for_small_teams(state: State, queue: Queue) -> None:
     """
-    A team that holds its part of a half-full queue is refused, another is not.
+    In a queue over half full, a team above its fraction is refused while a smaller one is not.
     """
     state.fair.queued[queue.name] = 60
     state.overload.services[SERVICE].waiting = {"show/flood": 60, "show/calm": 1}
@@ -89,7 +89,7 @@
 @given(st.lists(st.booleans(), max_size=400))
 def test_retries_stay_within_their_budget(steps: list[bool]) -> None:
     """
-    After any order of first attempts and retries, retries are at most their share and the saved.
+    In any sequence, retries are at most their share of first attempts plus the saved retries.
     """
     state = OverloadState()
     firsts = taken = 0
--- a/packages/eelgrassdrum-core/tests/test_request_path.py
+++ b/packages/eelgrassdrum-core/tests/test_request_path.py
@@ -1,5 +1,5 @@
 """
-The way of one request through the reducer.
+Tests of the path of a request through the reducer.
 """
 
 from eelgrassdrum_core import (
@@ -51,7 +51,7 @@
 
 def record(sequence: int, kind: str, subject: str, base: int | None, body: dict) -> StoredRecord:
     """
-    Make a stored record whose offset is its sequence.
+    Build a stored record whose offset equals its sequence number.
     """
     return StoredRecord(
         sequence, Record(RecordId("operator", 1, sequence), kind, subject, base, body)
@@ -60,14 +60,14 @@
 
 def own_record(offset: int, kind: str, subject: str, body: dict) -> StoredRecord:
     """
-    Make a stored record of the instance under test, the first of its subject.
+    Build a stored record written by the instance under test, the first of its subject.
     """
     return StoredRecord(offset, Record(RecordId("entry-a1", 1, offset), kind, subject, 0, body))
 
 
 def make_state() -> State:
     """
-    Give an instance with one queue, one key, the team's whole limit and one endpoint of one slot.
+    Return an instance with one queue, one key, the team's whole limit and an endpoint with one slot.
     """
     identity = Identity(Sender("entry-a1", 1, "a"), "127.0.0.1:1", "127.0.0.1:2")
     state = new_state(identity, Tuning(entry_instances=1))
@@ -86,7 +86,7 @@
 
 def submit(token: int, credential: Credential | None, **changes: object) -> events.RequestReceived:
     """
-    Make a request to the one queue.
+    Build the event of a request to the queue.
     """
     request = events.RequestReceived(
         token, f"r{token}", "show/scores", credential, False, False, 2.0, 10
@@ -96,7 +96,7 @@
 
 def effects_of_type(kind: type, produced: list[object]) -> list:
     """
-    Give the effects of one type.
+    Return the effects of one type.
     """
     return [effect for effect in produced if isinstance(effect, kind)]
 
@@ -106,7 +106,7 @@
 
 def test_answer_reaches_its_caller(state: State, credential: Credential) -> None:
     """
-    A request under a granted key is dispatched, and its answer goes to its own exchange.
+    A request with a granted key is dispatched, and the response is sent to its own exchange.
     """
     _, produced = reduce(state, 2.0, submit(7, credential))
     [dispatch] = effects_of_type(effects.Dispatch, produced)
@@ -118,7 +118,7 @@
 
 def test_second_answer_is_dropped(state: State, credential: Credential) -> None:
     """
-    An answer that comes twice is given once.
+    A duplicate response of an attempt is dropped.
     """
     _, produced = reduce(state, 2.0, submit(7, credential))
     [dispatch] = effects_of_type(effects.Dispatch, produced)
@@ -131,7 +131,7 @@
 
 def test_withdrawn_key_is_refused(state: State, credential: Credential) -> None:
     """
-    After a withdrawal the key opens nothing, and a later grant does not bring it back.
+    A withdrawn key is refused, also when a later record grants it again.
     """
     body = {"workspace": "show", "key_id": "k1"}
     records = (
@@ -146,7 +146,7 @@
 
 def test_non_idempotent_attempt_is_not_sent_again(state: State, credential: Credential) -> None:
     """
-    When bytes were sent and no answer came, the caller is told that the outcome is unknown.
+    If bytes were sent and no response arrived, the outcome is reported to the caller as unknown.
     """
     _, produced = reduce(state, 2.0, submit(7, credential))
     [dispatch] = effects_of_type(effects.Dispatch, produced)
@@ -158,7 +158,7 @@
 
 def test_unsent_attempt_is_tried_again(state: State, credential: Credential) -> None:
     """
-    When no byte was sent, the request is dispatched again under a new attempt.
+    If no byte was sent, the request is dispatched again as a new attempt.
     """
     _, produced = reduce(state, 2.0, submit(7, credential))
     [first] = effects_of_type(effects.Dispatch, produced)
@@ -171,7 +171,7 @@
 
 def test_stale_writer_loses(state: State) -> None:
     """
-    Of two documents built on the same revision, the first in the log wins.
+    Of two documents that build on the same revision, only the first in the log is accepted.
     """
     published = {"name": "show", "document": DOCUMENT, "author": "op", "comment": ""}
     records = (
