--- a/packages/eelgrassdrum-core/tests/test_fair.py
+++ b/packages/eelgrassdrum-core/tests/test_fair.py
@@ -76,7 +76,7 @@
 
 def test_running_work_is_charged_as_it_runs(fair: FairState) -> None:
     """
-    An attempt is charged an estimate at first, the elapsed time if longer, and finally its run time.
+    An attempt is charged an estimate, then the elapsed time if longer, and finally its run time.
     """
     fill(fair, "x", 1)
     req = _fair.pop(fair, SERVICE, lambda req: True)
--- a/packages/eelgrassdrum-core/tests/test_overload.py
+++ b/packages/eelgrassdrum-core/tests/test_overload.py
@@ -67,7 +67,7 @@
 
 def test_bodies_are_bounded(state: State, queue: Queue) -> None:
     """
-    A request whose body would exceed the instance's bound on held bytes is refused.
+    A request whose body would exceed the instance's bound on held bytes is refused as not run.
     """
     overload.add_held_bytes(state, 995)
     refusal = overload.check(state, queue, "show/calm", 10, 30.0)
--- a/packages/eelgrassdrum-core/tests/test_request_path.py
+++ b/packages/eelgrassdrum-core/tests/test_request_path.py
@@ -67,7 +67,7 @@
 
 def make_state() -> State:
     """
-    Return an instance with one queue, one key, the team's whole limit and an endpoint with one slot.
+    Return an instance with a queue, a key, the team's whole limit and one endpoint with one slot.
     """
     identity = Identity(Sender("entry-a1", 1, "a"), "127.0.0.1:1", "127.0.0.1:2")
     state = new_state(identity, Tuning(entry_instances=1))
