--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_balance.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_balance.py
@@ -92,9 +92,11 @@
     """
     parts = dict.fromkeys(demands, 0)
     left = max(0, units)
-    open_keys = sorted((key for key, want in demands.items() if want > 0), key=lambda k: demands[k])
-    for index, key in enumerate(open_keys):
-        parts[key] = min(demands[key], -(-left // (len(open_keys) - index)))
+    unsatisfied = sorted(
+        (key for key, want in demands.items() if want > 0), key=lambda k: demands[k]
+    )
+    for index, key in enumerate(unsatisfied):
+        parts[key] = min(demands[key], -(-left // (len(unsatisfied) - index)))
         left -= parts[key]
     return parts
 
@@ -119,7 +121,7 @@
     return team.limit - sum(allowance.held.values()) - sum(allowance.recovering.values())
 
 
-def _balance(state: State, team: Team, order: int) -> Iterator[object]:
+def _balance(state: State, team: Team, precedence: int) -> Iterator[object]:
     view = state.limits.balance.teams.setdefault(team.name, TeamBalance())
     allowance = state.fold.allowances.teams.get(team.name, TeamAllowance())
     demands = _demand_by_holder(state, view)
@@ -136,7 +138,7 @@
         return
     if view.unbalanced_since_s is None:
         view.unbalanced_since_s = state.now_s
-    wait_s = order * TAKEOVER_DELAY_S + (0.0 if gains else ALLOCATE_SPARE_AFTER_S)
+    wait_s = precedence * TAKEOVER_DELAY_S + (0.0 if gains else ALLOCATE_SPARE_AFTER_S)
     if (
         state.now_s - view.unbalanced_since_s < wait_s
         or state.now_s - view.moved_at_s < MOVE_EVERY_S
@@ -151,13 +153,13 @@
 
 
 def _demand_by_holder(state: State, view: TeamBalance) -> dict[str, int]:
-    wants = {}
+    demands = {}
     for key in state.limits.balance.holders:
-        heard = view.demands.get(key)
-        is_valid = heard is not None and state.now_s - heard.at_s < REPORT_VALID_S
-        wants[key] = heard.row.units if heard is not None and is_valid else 0
-    view.demands = {key: heard for key, heard in view.demands.items() if key in wants}
-    return wants
+        report = view.demands.get(key)
+        is_valid = report is not None and state.now_s - report.at_s < REPORT_VALID_S
+        demands[key] = report.row.units if report is not None and is_valid else 0
+    view.demands = {key: report for key, report in view.demands.items() if key in demands}
+    return demands
 
 
 def _usable_by_holder(
@@ -167,20 +169,20 @@
     usable = {}
     for key in state.limits.balance.holders:
         usable[key] = allowance.held.get(key, 0)
-        heard = view.demands.get(key)
-        if heard is not None and heard.row.revision == current:
-            usable[key] = min(usable[key], heard.row.usable)
+        report = view.demands.get(key)
+        if report is not None and report.row.revision == current:
+            usable[key] = min(usable[key], report.row.usable)
     return usable
 
 
 def _targets(team: Team, allowance: TeamAllowance, demands: dict[str, int]) -> dict[str, int]:
     units = team.limit - sum(allowance.recovering.values())
-    wanted = split_max_min(demands, units)
-    spare = units - sum(wanted.values())
+    satisfied = split_max_min(demands, units)
+    spare = units - sum(satisfied.values())
     base, extra = divmod(max(0, spare), max(1, len(demands)))
     # The remainder of the division goes to the holders with the largest demand.
     order = sorted(demands, key=lambda key: (-demands[key], key))
-    return {key: wanted[key] + base + (place < extra) for place, key in enumerate(order)}
+    return {key: satisfied[key] + base + (place < extra) for place, key in enumerate(order)}
 
 
 def _holders_above_target(state: State, team: Team, targets: Mapping[str, int]) -> list[str]:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_demand.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_demand.py
@@ -170,13 +170,13 @@
     waiting = waiting_units(state)
     running = state.limits.running
     peaks = state.limits.balance.peaks
-    fade = 0.5 ** (elapsed_s / PEAK_HALF_LIFE_S)
+    decay = 0.5 ** (elapsed_s / PEAK_HALF_LIFE_S)
     rows = []
     for name in sorted({*waiting, *running, *peaks}):
         team = state.fold.config.teams.get(name)
         units = waiting.get(name, 0) + running.get(name, 0)
         held = 0 if team is None else held_units(state, team)
-        peaks[name] = max(units, min(peaks.get(name, 0.0), held) * fade)
+        peaks[name] = max(units, min(peaks.get(name, 0.0), held) * decay)
         if peaks[name] < MIN_PEAK:
             del peaks[name]
         if team is not None:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_lease.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_lease.py
@@ -144,11 +144,11 @@
     lease = state.limits.lease
     renew_after_s = RENEW_AFTER_S if _has_reclaimers(state) else RENEW_UNPROTECTED_AFTER_S
     is_fresh = lease.until_s - state.now_s > LEASE_S - renew_after_s
-    is_open = (
+    is_pending = (
         lease.renewal_proposed_at_s is not None
         and state.now_s - lease.renewal_proposed_at_s < RENEWAL_TIMEOUT_S
     )
-    if is_open or state.membership.superseded or (is_fresh and own_lease(state) is not None):
+    if is_pending or state.membership.superseded or (is_fresh and own_lease(state) is not None):
         return
     lease.renewal_proposed_at_s = state.now_s
     sender = state.identity.sender
@@ -161,8 +161,8 @@
     # must be current holders.
     own = own_lease(state)
     registered = registered_keys(state.fold.allowances)
-    live = [] if own is None else [key for key in own.reclaimers if key in registered]
-    return len(live) >= min(RECLAIMERS, len(registered) - 1)
+    current_reclaimers = [] if own is None else [key for key in own.reclaimers if key in registered]
+    return len(current_reclaimers) >= min(RECLAIMERS, len(registered) - 1)
 
 
 def _release(state: State) -> Iterator[object]:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_recovery.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_recovery.py
@@ -106,8 +106,8 @@
 
 def _record_fenced(state: State) -> None:
     fenced = state.fold.allowances.fenced
-    noted = state.limits.recovery.fenced_at_s
-    state.limits.recovery.fenced_at_s = {key: noted.get(key, state.now_s) for key in fenced}
+    known = state.limits.recovery.fenced_at_s
+    state.limits.recovery.fenced_at_s = {key: known.get(key, state.now_s) for key in fenced}
 
 
 def _is_settler(state: State) -> bool:
@@ -144,14 +144,14 @@
 
 def _settle_fenced(state: State) -> Iterator[object]:
     for key, fenced in state.fold.allowances.fenced.items():
-        order = _settler_rank(state, key)
-        if order >= SETTLERS:
+        precedence = _settler_rank(state, key)
+        if precedence >= SETTLERS:
             continue
         for name, allowance in state.fold.allowances.teams.items():
             if key not in allowance.recovering:
                 continue
             from_s = _evidence_from_s(state, key, fenced, name)
-            if state.now_s >= from_s + order * SETTLE_STAGGER_S:
+            if state.now_s >= from_s + precedence * SETTLE_STAGGER_S:
                 yield from _propose_settlement(
                     state, name, key, _possibly_running(state, key, name, from_s)
                 )
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_dispatch.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_dispatch.py
@@ -72,8 +72,8 @@
     _overload.add_held_bytes(state, -req.size_bytes)
     failed = event.status >= MIN_FAILED_STATUS
     run_s = state.now_s - attempt.started_s
-    usual_s = _overload.service_load(state, req.service).run_s
-    _endpoints_health.note_answer(state, attempt.endpoint, failed, run_s, usual_s)
+    mean_run_s = _overload.service_load(state, req.service).run_s
+    _endpoints_health.note_answer(state, attempt.endpoint, failed, run_s, mean_run_s)
     yield from _joins.answer(state, req, event.attempt, event.status, event.size_bytes)
     yield Emit(CapacityChanged())
     endpoint = state.endpoints.endpoints.get(attempt.endpoint)
@@ -261,8 +261,8 @@
 
 def _refuse(state: State, req: Request, refusal: Refusal) -> Iterator[object]:
     _overload.add_held_bytes(state, -req.size_bytes)
-    told = _refusals.for_repeat(refusal) if req.may_have_run else refusal
-    yield from _joins.refuse(state, req, told)
+    reported = _refusals.for_repeat(refusal) if req.may_have_run else refusal
+    yield from _joins.refuse(state, req, reported)
 
 
 HANDLERS: HandlerTable = {
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_accounts.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_accounts.py
@@ -139,8 +139,8 @@
     system_virtual_s = max(service.virtual_s, min(team.virtual_s for team in waiting))
     if elapsed_s > 0:
         weight = min(1.0, elapsed_s / RATE_TIME_CONSTANT_S)
-        grown = (system_virtual_s - service.virtual_s) / elapsed_s
-        service.rate += weight * (grown - service.rate)
+        growth = (system_virtual_s - service.virtual_s) / elapsed_s
+        service.rate += weight * (growth - service.rate)
     service.virtual_s = system_virtual_s
     lowest_s = system_virtual_s - MAX_LAG_S * service.rate
     highest_s = system_virtual_s + MAX_LEAD_S * service.rate
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_eviction.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_eviction.py
@@ -28,26 +28,31 @@
     if service is None:
         return None
 
-    def length(name: str, team: TeamQueue) -> float:
+    def requests_per_share(name: str, team: TeamQueue) -> float:
         return fair.queued_by_team.get((queue, name), 0) / team.share
 
-    longest = max(service.teams, key=lambda name: length(name, service.teams[name]), default=None)
-    if longest is None or longest == team_name:
+    largest = max(
+        service.teams, key=lambda name: requests_per_share(name, service.teams[name]), default=None
+    )
+    if largest is None or largest == team_name:
         return None
     own = service.teams.get(team_name, TeamQueue())
-    if length(longest, service.teams[longest]) <= length(team_name, own) + 1 / own.share:
+    if (
+        requests_per_share(largest, service.teams[largest])
+        <= requests_per_share(team_name, own) + 1 / own.share
+    ):
         return None
-    req = _take_newest(service.teams[longest].normal, queue)
+    req = _take_newest(service.teams[largest].normal, queue)
     if req is not None:
         count_request(fair, req, -1)
     return req
 
 
 def _take_newest(requests: deque[Request], queue: str) -> Request | None:
-    for place in range(len(requests) - 1, -1, -1):
+    for index in range(len(requests) - 1, -1, -1):
         # A request that was already tried may have run, so it can't be refused as not run.
-        if requests[place].queue == queue and requests[place].tries == 0:
-            req = requests[place]
-            del requests[place]
+        if requests[index].queue == queue and requests[index].tries == 0:
+            req = requests[index]
+            del requests[index]
             return req
     return None
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_exchange.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_exchange.py
@@ -137,20 +137,22 @@
         if count_waiting(team) or remote[team_name] or team_name in running:
             mark_active(service, team, state.now_s)
 
-    def waits(team_name: str, team: TeamQueue) -> bool:
+    def is_waiting(team_name: str, team: TeamQueue) -> bool:
         return remote[team_name] > 0 or (count_waiting(team) > 0 and not team.is_blocked)
 
-    advance_virtual_time(service, state.now_s, waits)
+    advance_virtual_time(service, state.now_s, is_waiting)
     _set_ceiling(state, service, remote)
 
 
 def _set_ceiling(state: State, service: ServiceQueue, remote: dict[str, int]) -> None:
     service.ceiling_s = float("inf")
-    behind = [service.teams[name].virtual_s for name, waiting in remote.items() if waiting > 0]
-    if not behind or state.now_s < service.ceiling_off_until_s:
+    waiting_virtual_s = [
+        service.teams[name].virtual_s for name, waiting in remote.items() if waiting > 0
+    ]
+    if not waiting_virtual_s or state.now_s < service.ceiling_off_until_s:
         service.ceiling_since_s = state.now_s
         return
-    lowest_s = min(behind)
+    lowest_s = min(waiting_virtual_s)
     if lowest_s != service.ceiling_team_s:
         service.ceiling_team_s = lowest_s
         service.ceiling_since_s = state.now_s
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_overload.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_overload.py
@@ -66,9 +66,9 @@
     """
     load = service_load(state, req.service)
     load.total += step
-    left = load.waiting.get(req.team, 0) + step
-    if left:
-        load.waiting[req.team] = left
+    remaining = load.waiting.get(req.team, 0) + step
+    if remaining:
+        load.waiting[req.team] = remaining
     else:
         del load.waiting[req.team]
     if load.total == 0:
@@ -174,8 +174,8 @@
     :param wait_s: seconds after which capacity is expected.
     :returns: seconds.
     """
-    least_s = min(max(wait_s, MIN_RETRY_S), MAX_RETRY_S)
-    return round(least_s * (1 + RETRY_JITTER * state.rng.random()), 3)
+    base_s = min(max(wait_s, MIN_RETRY_S), MAX_RETRY_S)
+    return round(base_s * (1 + RETRY_JITTER * state.rng.random()), 3)
 
 
 def team_share(state: State, team_name: str) -> float:
--- a/packages/eelgrassdrum-core/tests/test_allowance_lease.py
+++ b/packages/eelgrassdrum-core/tests/test_allowance_lease.py
@@ -83,7 +83,7 @@
     assert reclaims(state, NOW_S + expiry_wait_s(0.0)) == ["e2:1"]
 
 
-def test_given_extension_delays_the_reclaim(state: State) -> None:
+def test_granted_extension_delays_the_reclaim(state: State) -> None:
     """
     A reclaimer that granted an extension counts the full lease from that time.
     """
@@ -93,7 +93,7 @@
     assert "e2:1" in reclaims(state, given_s + expiry_wait_s(0.0))
 
 
-def test_no_extension_once_a_reclaim_is_wanted(state: State) -> None:
+def test_no_extension_once_a_reclaim_is_proposed(state: State) -> None:
     """
     A reclaimer that has proposed a reclaim grants no extension, even if the log responds late.
     """
@@ -102,7 +102,7 @@
     assert ask(state, late_s) == []
 
 
-def test_no_extension_by_a_lapsed_reclaimer(state: State) -> None:
+def test_no_extension_by_an_expired_reclaimer(state: State) -> None:
     """
     A reclaimer grants no extension after its own lease has expired, nor for a different renewal.
     """
@@ -149,7 +149,7 @@
     return taken
 
 
-def test_lapsed_lease_gives_no_unit(state: State) -> None:
+def test_expired_lease_allows_no_unit(state: State) -> None:
     """
     Units can be acquired until the lease and the team's grace have expired, and not afterwards.
     """
@@ -160,7 +160,7 @@
     assert not can_acquire_unit(state, end_s + 5.0, 5.0)
 
 
-def test_lease_check_sees_a_lease_without_end(state: State) -> None:
+def test_lease_check_detects_an_ignored_lease(state: State) -> None:
     """
     If the lease is ignored, the check of the previous test finds a unit acquired after its expiry.
     """
--- a/packages/eelgrassdrum-core/tests/test_fair.py
+++ b/packages/eelgrassdrum-core/tests/test_fair.py
@@ -38,7 +38,7 @@
     return req.team
 
 
-def account_s(fair: FairState, team: str) -> float:
+def virtual_s(fair: FairState, team: str) -> float:
     """
     Return a team's virtual time.
     """
@@ -67,7 +67,7 @@
     fill(fair, "short", 60)
     served = []
     for _ in range(50):
-        team = "long" if account_s(fair, "long") <= account_s(fair, "short") else "short"
+        team = "long" if virtual_s(fair, "long") <= virtual_s(fair, "short") else "short"
         served.append(
             run_next(fair, {"long": 1.0, "short": 1.0}, 4.0 if team == "long" else 1.0, 0)
         )
@@ -82,19 +82,19 @@
     req = _fair.pop(fair, SERVICE, lambda req: True)
     assert req is not None
     _fair_accounts.open_charge(fair, "a", req, 1.0, 0.0)
-    assert account_s(fair, "x") == _fair_accounts.INITIAL_ESTIMATE_S
+    assert virtual_s(fair, "x") == _fair_accounts.INITIAL_ESTIMATE_S
     _fair_accounts.accrue(fair, 5.0)
-    assert account_s(fair, "x") == 5.0
+    assert virtual_s(fair, "x") == 5.0
     _fair_accounts.close_charge(fair, "a", 6.0, ran=True)
-    assert account_s(fair, "x") == 6.0
+    assert virtual_s(fair, "x") == 6.0
     fill(fair, "x", 1)
     _fair_accounts.open_charge(fair, "b", request(1, "x"), 1.0, 6.0)
-    assert account_s(fair, "x") == 12.0
+    assert virtual_s(fair, "x") == 12.0
     _fair_accounts.close_charge(fair, "b", 7.0, ran=False)
-    assert account_s(fair, "x") == 6.0
+    assert virtual_s(fair, "x") == 6.0
 
 
-def test_idle_team_returns_at_the_level(fair: FairState) -> None:
+def test_idle_team_gets_no_credit(fair: FairState) -> None:
     """
     A team that was idle is neither credited nor charged for the idle time.
     """
@@ -107,10 +107,10 @@
         service = fair.services[SERVICE]
         _fair_accounts.advance_virtual_time(service, step + 1.0, lambda name, team: name == "busy")
     fill(fair, "away", 1, now_s=30.0)
-    assert abs(account_s(fair, "away") - account_s(fair, "busy")) <= RUN_S
+    assert abs(virtual_s(fair, "away") - virtual_s(fair, "busy")) <= RUN_S
 
 
-def test_accounts_meet_when_nobody_waits(fair: FairState) -> None:
+def test_earlier_use_is_forgotten_without_a_queue(fair: FairState) -> None:
     """
     When no team waits, earlier use no longer counts.
     """
@@ -118,7 +118,7 @@
     fill(fair, "y", 1)
     run_next(fair, {"x": 1.0, "y": 1.0}, 100.0, 0.0)
     _fair_accounts.advance_virtual_time(fair.services[SERVICE], 200.0, lambda name, team: False)
-    assert account_s(fair, "x") == account_s(fair, "y")
+    assert virtual_s(fair, "x") == virtual_s(fair, "y")
 
 
 def test_changed_share_counts_from_now(fair: FairState) -> None:
@@ -128,7 +128,7 @@
     fill(fair, "x", 2)
     run_next(fair, {"x": 1.0}, 4.0, 0.0)
     run_next(fair, {"x": 4.0}, 4.0, 4.0)
-    assert account_s(fair, "x") == 5.0
+    assert virtual_s(fair, "x") == 5.0
 
 
 def test_urgent_goes_first_in_its_team_only(fair: FairState) -> None:
@@ -159,7 +159,7 @@
     assert _fair.pop(fair, SERVICE, lambda req: True, ignore_ceiling=True) is not None
 
 
-def test_flood_gives_way_in_a_full_queue(fair: FairState) -> None:
+def test_full_queue_evicts_from_the_largest_team(fair: FairState) -> None:
     """
     A full queue evicts the newest request of the largest team in favour of a smaller team.
     """
@@ -172,7 +172,7 @@
     assert _fair_eviction.evict_newest_excess(fair, SERVICE, "show/scores", "flood") is None
 
 
-def test_tried_requests_keep_their_place(fair: FairState) -> None:
+def test_tried_requests_are_not_evicted(fair: FairState) -> None:
     """
     A request that was already tried is never evicted, because it may have run.
     """
--- a/packages/eelgrassdrum-core/tests/test_overload.py
+++ b/packages/eelgrassdrum-core/tests/test_overload.py
@@ -54,8 +54,8 @@
     """
     Callers refused at the same time get different retry delays.
     """
-    told = {overload.check(state, queue, "show/flood", 10, 30.0).retry_after_s for _ in range(20)}
-    assert len(told) > 15
+    delays = {overload.check(state, queue, "show/flood", 10, 30.0).retry_after_s for _ in range(20)}
+    assert len(delays) > 15
 
 
 def test_one_team_does_not_get_another_refused(state: State, queue: Queue) -> None:
