--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_balance.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_balance.py
@@ -132,8 +132,8 @@
         for key in targets
         if targets[key] > held[key] and demands[key] > held[key]
     }
-    unheld = _unallocated_units(team, allowance)
-    if not gains and unheld <= 0:
+    unallocated = _unallocated_units(team, allowance)
+    if not gains and unallocated <= 0:
         view.unbalanced_since_s = None
         return
     if view.unbalanced_since_s is None:
@@ -144,7 +144,7 @@
         or state.now_s - view.moved_at_s < MOVE_EVERY_S
     ):
         return
-    if gains and sum(gains.values()) > unheld and _awaits_promises(state, team, view, targets):
+    if gains and sum(gains.values()) > unallocated and _awaits_promises(state, team, view, targets):
         yield from _request_cessions(state, team, view, targets)
         if _awaits_promises(state, team, view, targets):
             return
@@ -182,7 +182,7 @@
     base, extra = divmod(max(0, spare), max(1, len(demands)))
     # The remainder of the division goes to the holders with the largest demand.
     order = sorted(demands, key=lambda key: (-demands[key], key))
-    return {key: satisfied[key] + base + (place < extra) for place, key in enumerate(order)}
+    return {key: satisfied[key] + base + (index < extra) for index, key in enumerate(order)}
 
 
 def _holders_above_target(state: State, team: Team, targets: Mapping[str, int]) -> list[str]:
@@ -195,8 +195,8 @@
 ) -> bool:
     if view.asked_revision != revision(state, team.name):
         return True
-    answered = all(key in view.ceded for key in _holders_above_target(state, team, targets))
-    return not answered and state.now_s - view.asked_at_s < CESSION_WAIT_S
+    all_promised = all(key in view.ceded for key in _holders_above_target(state, team, targets))
+    return not all_promised and state.now_s - view.asked_at_s < CESSION_WAIT_S
 
 
 def _request_cessions(
@@ -249,9 +249,9 @@
 ) -> dict[str, int]:
     held = allowance.held
     new = {key: min(units, ceded.get(key, units)) for key, units in held.items()}
-    pool = team.limit - sum(new.values()) - sum(allowance.recovering.values())
+    available = team.limit - sum(new.values()) - sum(allowance.recovering.values())
     gains = {key: max(0, units - new.get(key, 0)) for key, units in targets.items()}
-    for key, units in split_max_min(gains, pool).items():
+    for key, units in split_max_min(gains, available).items():
         new[key] = new.get(key, 0) + units
     return {key: units for key, units in new.items() if units != held.get(key, 0)}
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_recovery.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_recovery.py
@@ -122,9 +122,9 @@
 
 def _probe(state: State) -> Iterator[object]:
     needed = {item.endpoint for item in state.limits.recovery.uncertain.values()}
-    has_duty = _is_settler(state)
+    is_settler = _is_settler(state)
     for endpoint in state.endpoints.endpoints.values():
-        if has_duty or endpoint.id in needed:
+        if is_settler or endpoint.id in needed:
             yield ProbeEndpoint(endpoint.id, endpoint.address, PROBE_TIMEOUT_S)
 
 
