--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_admission.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_admission.py
@@ -97,8 +97,8 @@
 
 
 def _refuse(state: State, event: RequestReceived, refusal: Refusal) -> Refuse:
-    # While this process was paused, the request may have waited unread in a socket buffer and a
-    # retry of it may have run at another instance.
+    # While this process was paused, the request may have waited here unprocessed, and a retry of it
+    # may have run at another instance.
     is_late = _membership.pause_s(state) > MAX_UNNOTICED_PAUSE_S
     reported = _refusals.for_repeat(refusal) if event.repeat or is_late else refusal
     return Refuse(event.token, reported)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_lease.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_lease.py
@@ -32,8 +32,8 @@
 from ._state import State
 
 LEASE_S = 30.0
+# Age at which a lease is renewed, and the same for a holder without all its reclaimers.
 RENEW_AFTER_S = 10.0
-# The same for a holder without its full number of reclaimers.
 RENEW_UNPROTECTED_AFTER_S = 1.0
 # Time after which a renewal without a known outcome is proposed again.
 RENEWAL_TIMEOUT_S = 60.0
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_recovery.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_recovery.py
@@ -24,7 +24,8 @@
 PROBE_TIMEOUT_S = 1.0
 # Longest time for which an attempt or an earlier probe may still be in transit.
 MAX_TRANSIT_S = 3.0
-# Delay between the attempts of successive settlers, so that usually only one writes a record.
+# Number of holders, the settlers, that may free the units of a fenced holder, and the delay between
+# their attempts, so that usually only one writes a record.
 SETTLE_STAGGER_S = 3.0
 SETTLERS = 3
 # Grace assumed when the documents that set it are no longer retained.
@@ -88,7 +89,7 @@
     :param config: the folded configuration.
     :param team: ``WORKSPACE/TEAM``.
     :param since_offset: offset up to which the holder has certainly read the log.
-    :returns: seconds.
+    :returns: seconds; `UNKNOWN_GRACE_S` if the documents up to the offset are no longer retained.
     """
     workspace, _, name = team.partition("/")
     revisions = config.documents.get(workspace, [])
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_messages.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_messages.py
@@ -13,7 +13,7 @@
 
     :param service: ``WORKSPACE/SERVICE``.
     :param team: ``WORKSPACE/TEAM``.
-    :param served_s: total resource-seconds served since the reporting instance started.
+    :param served_s: total resource-seconds served since the origin of the report started.
     :param waiting: number of requests waiting for slots.
     """
 
