--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_accounts.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_accounts.py
@@ -119,8 +119,9 @@
     service: ServiceQueue, now_s: float, is_waiting: Callable[[str, TeamQueue], bool]
 ) -> None:
     """
-    Advance the service's virtual time to the lowest of the waiting teams, and keep all teams' virtual
-    times within bounds around it.
+    Advance the service's virtual time to the lowest one of the waiting teams.
+
+    The virtual times of all teams are kept within bounds around it.
 
     :param service: changed in place.
     :param now_s: current time.
