--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair.py
@@ -93,12 +93,12 @@
     for service in fair.services.values():
         for team in service.teams.values():
             for requests in (team.urgent, team.normal):
-                taken = [req for req in requests if condition(req)]
-                if taken:
+                matching = [req for req in requests if condition(req)]
+                if matching:
                     kept = [req for req in requests if not condition(req)]
                     requests.clear()
                     requests.extend(kept)
-                    removed.extend(taken)
+                    removed.extend(matching)
     for req in removed:
         count_request(fair, req, -1)
     return removed
