--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_refusals.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_refusals.py
@@ -50,7 +50,7 @@
 
 
 NOT_READY = RefusalCode(
-    "not_ready", 503, NOT_RUN, "this instance has not loaded the whole configuration yet"
+    "not_ready", 503, NOT_RUN, "this instance has not loaded its complete configuration yet"
 )
 STOPPING = RefusalCode(
     "stopping", 503, NOT_RUN, "this instance is shutting down; retry at another instance"
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_retries.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_retries.py
@@ -23,7 +23,7 @@
 
 def try_acquire_retry(overload: OverloadState, queue: str) -> bool:
     """
-    Take one retry from a queue's budget.
+    Acquire one retry from a queue's budget.
 
     :param overload: changed in place.
     :param queue: ``WORKSPACE/QUEUE``.
