--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_refusals.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_refusals.py
@@ -49,43 +49,37 @@
     return refusal._replace(code=refusal.code._replace(run_state=UNKNOWN))
 
 
-NOT_READY = RefusalCode(
-    "not_ready", 503, NOT_RUN, "this instance has not loaded its complete configuration yet"
-)
-STOPPING = RefusalCode(
-    "stopping", 503, NOT_RUN, "this instance is shutting down; retry at another instance"
-)
-UNKNOWN_QUEUE = RefusalCode("unknown_queue", 404, NOT_RUN, "the queue does not exist")
-KEY_REQUIRED = RefusalCode("key_required", 401, NOT_RUN, "this queue requires a key")
+NOT_READY = RefusalCode("not_ready", 503, NOT_RUN, "this instance has no whole configuration yet")
+STOPPING = RefusalCode("stopping", 503, NOT_RUN, "this instance is leaving; try again elsewhere")
+UNKNOWN_QUEUE = RefusalCode("unknown_queue", 404, NOT_RUN, "there is no such queue for this key")
+KEY_REQUIRED = RefusalCode("key_required", 401, NOT_RUN, "this queue needs a key")
 KEY_REFUSED = RefusalCode("key_refused", 401, NOT_RUN, "the key is wrong, unknown or withdrawn")
 KEY_UNVERIFIED = RefusalCode(
-    "key_unverified", 503, NOT_RUN, "this instance cannot check keys against recent withdrawals"
+    "key_unverified", 503, NOT_RUN, "withdrawals cannot be seen from here, so no key is taken"
 )
-KEY_FORBIDDEN = RefusalCode("key_forbidden", 403, NOT_RUN, "the key gives no access to this queue")
+KEY_FORBIDDEN = RefusalCode("key_forbidden", 403, NOT_RUN, "the key does not open this queue")
 BAD_REQUEST = RefusalCode("bad_request", 400, NOT_RUN, "the request is malformed")
 BODY_TOO_LARGE = RefusalCode("body_too_large", 413, NOT_RUN, "the body is larger than allowed")
 QUEUE_FULL = RefusalCode("queue_full", 503, NOT_RUN, "the queue is full")
-OVERLOADED = RefusalCode(
-    "overloaded", 503, NOT_RUN, "this instance has no memory left for request bodies"
-)
+OVERLOADED = RefusalCode("overloaded", 503, NOT_RUN, "this instance is out of memory for bodies")
 RETRIES_SPENT = RefusalCode(
-    "retries_spent", 503, NOT_RUN, "no attempt started, and the retry budget is exhausted"
+    "retries_spent", 503, NOT_RUN, "attempts did not start, and no more may be made now"
 )
 WAIT_TOO_LONG = RefusalCode("wait_too_long", 503, NOT_RUN, "the request could not start in time")
 LIMIT_REACHED = RefusalCode("limit_reached", 429, NOT_RUN, "the team's upper limit is reached")
-NO_ENDPOINT = RefusalCode("no_endpoint", 503, NOT_RUN, "no endpoint of the service is reachable")
+NO_ENDPOINT = RefusalCode("no_endpoint", 503, NOT_RUN, "no endpoint of the service can be reached")
 OUTCOME_UNKNOWN = RefusalCode(
-    "outcome_unknown", 502, UNKNOWN, "the request may have run, but its response was lost"
+    "outcome_unknown", 502, UNKNOWN, "the request may have run, and its answer is lost"
 )
-RUN_TIMEOUT = RefusalCode("run_timeout", 504, UNKNOWN, "the request did not finish in time")
+RUN_TIMEOUT = RefusalCode("run_timeout", 504, UNKNOWN, "the request did not answer in time")
 REQUEST_CONFLICT = RefusalCode(
-    "request_conflict", 409, UNKNOWN, "the request id was already used for another request"
+    "request_conflict", 409, UNKNOWN, "another request has used this request id"
 )
 HELD_ELSEWHERE = RefusalCode(
     "held_elsewhere",
     409,
     UNKNOWN,
-    "another instance has claimed the request; only that instance knows its outcome",
+    "another instance has taken the request; its outcome is there",
 )
 UNRESOLVED = RefusalCode(
     "unresolved", 503, UNKNOWN, "instances that may know the request id cannot be reached"
