--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_admission.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_admission.py
@@ -1,5 +1,5 @@
 """
-Admission: whether a request that has arrived is taken, and for which team.
+Admission control: whether an incoming request is accepted, and for which team.
 """
 
 from collections.abc import Iterator
@@ -7,7 +7,7 @@
 from . import (
     _endpoints,
     _fair,
-    _fair_room,
+    _fair_eviction,
     _freshness,
     _joins,
     _joins_claims,
@@ -26,17 +26,17 @@
 from ._requests import Request
 from ._state import State
 
-# Team name of callers without a key on a queue that is open to all.
+# Name of the team that requests without an accepted key count for, on queues that need no key.
 OPEN_TEAM = "open"
 NO_ENDPOINT_RETRY_S = 1.0
 NOT_READY_RETRY_S = 1.0
 STOPPING_RETRY_S = 0.1
-LATE_ARRIVAL_S = 0.25
+MAX_UNNOTICED_PAUSE_S = 0.25
 
 
 def on_request(state: State, event: RequestReceived) -> Iterator[object]:
     """
-    Take the request, let it join an earlier one with the same id, or refuse it at once.
+    Accept the request, attach it to an earlier one with the same id, or refuse it immediately.
     """
     if not state.log.caught_up:
         yield _refuse(state, event, Refusal(_refusals.NOT_READY, NOT_READY_RETRY_S))
@@ -49,27 +49,27 @@
     if isinstance(team, RefusalCode):
         yield _refuse(state, event, Refusal(team))
         return
-    if event.credential is not None and not _may_take_key(state, team):
+    if event.credential is not None and not _may_accept_key(state, team):
         if queue.keyed:
             yield _refuse(state, event, _freshness.refuse_unverified(state))
             return
         team = f"{queue.workspace}/{OPEN_TEAM}"
-    key = hash_request(_scope(queue, team, event), event.request_id)
+    key = hash_request(_request_scope(queue, team, event), event.request_id)
     known = state.joins.known.get(key)
     if known is not None:
         yield from _joins.join(state, known, event)
         return
-    yield from _make_room(state, queue, team, event)
+    yield from _evict_for(state, queue, team, event)
     refusal = _refuse_load(state, queue, team, event)
     if refusal is not None:
         yield _refuse(state, event, refusal)
         return
-    yield from _take(state, _make_request(state, queue, team, key, event))
+    yield from _accept(state, _make_request(state, queue, team, key, event))
 
 
 def on_claimed(state: State, event: RequestClaimed) -> Iterator[object]:
     """
-    Queue a request that no other instance may run.
+    Queue a request that this instance has claimed exclusively, or that needs no claim.
     """
     _overload.count_waiting(state, event.req, 1)
     _fair.push(state.fair, event.req, state.now_s)
@@ -78,17 +78,17 @@
 
 def on_claim_lost(state: State, event: ClaimLost) -> Iterator[object]:
     """
-    Refuse a request that another instance may have run.
+    Refuse a request whose claim was lost, because another instance may have run it.
     """
     known = state.joins.known.get(event.req.key)
     if known is None or known.req is not event.req:
         return
-    _overload.count_held(state, -event.req.size_bytes)
+    _overload.add_held_bytes(state, -event.req.size_bytes)
     yield from _joins.refuse_unclaimed(state, event.req, event.refusal)
 
 
-def _take(state: State, req: Request) -> Iterator[object]:
-    _overload.count_held(state, req.size_bytes)
+def _accept(state: State, req: Request) -> Iterator[object]:
+    _overload.add_held_bytes(state, req.size_bytes)
     _joins.remember(state, req)
     if req.idempotent:
         yield Emit(RequestClaimed(req))
@@ -97,10 +97,11 @@
 
 
 def _refuse(state: State, event: RequestReceived, refusal: Refusal) -> Refuse:
-    # After a pause the request may have waited here unseen, and a repeat run elsewhere.
-    is_late = _membership.pause_s(state) > LATE_ARRIVAL_S
-    told = _refusals.for_repeat(refusal) if event.repeat or is_late else refusal
-    return Refuse(event.token, told)
+    # While this process was paused, the request may have waited here unprocessed, and a retry of it
+    # may have run at another instance.
+    is_late = _membership.pause_s(state) > MAX_UNNOTICED_PAUSE_S
+    reported = _refusals.for_repeat(refusal) if event.repeat or is_late else refusal
+    return Refuse(event.token, reported)
 
 
 def _find_team(state: State, queue: Queue, event: RequestReceived) -> str | RefusalCode:
@@ -118,25 +119,26 @@
     return key.team
 
 
-def _scope(queue: Queue, team: str, event: RequestReceived) -> str:
-    # On a queue open to all, a key counts for its team at one instance and not at another.
+def _request_scope(queue: Queue, team: str, event: RequestReceived) -> str:
+    # Request ids are deduplicated across instances, so their scope must be the same on each. On an
+    # open queue it can't be the team: one instance may accept a key and another may not.
     if queue.keyed or event.credential is None:
         return team
     return f"{queue.workspace} {event.credential.digest}"
 
 
-def _may_take_key(state: State, team: str) -> bool:
+def _may_accept_key(state: State, team: str) -> bool:
     return _freshness.keyed_work_allowed(state, state.fold.config.teams[team])
 
 
-def _make_room(state: State, queue: Queue, team: str, event: RequestReceived) -> Iterator[object]:
+def _evict_for(state: State, queue: Queue, team: str, event: RequestReceived) -> Iterator[object]:
     refusal = _refuse_load(state, queue, team, event)
     if refusal is None or refusal.code != _refusals.QUEUE_FULL:
         return
-    excess = _fair_room.take_excess(state.fair, queue.service, queue.name, team)
+    excess = _fair_eviction.evict_newest_excess(state.fair, queue.service, queue.name, team)
     if excess is not None:
         _overload.count_waiting(state, excess, -1)
-        _overload.count_held(state, -excess.size_bytes)
+        _overload.add_held_bytes(state, -excess.size_bytes)
         yield from _joins.refuse(state, excess, refusal)
 
 
@@ -170,7 +172,7 @@
         max_run_s=queue.max_run_s,
         size_bytes=event.size_bytes,
         body_hash=event.body_hash,
-        # Without a claim nobody can tell whether a repeat of it runs elsewhere meanwhile.
+        # Idempotent requests are not claimed, so a retry may be running at another instance.
         may_have_run=event.idempotent,
         key=key,
     )
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_balance.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_balance.py
@@ -1,9 +1,10 @@
 """
-Balancing of a team's allowances among its holders, by the first of a few chosen holders.
+Balancing of a team's allowances among their holders.
 
-A balancer grants units that nobody holds, and moves units whose holders promised, for the
-revision that the record builds on, not to use them. So a record can be lost, repeated or
-overtaken without two holders using one unit.
+A few holders, chosen by rendezvous hashing, are the balancers of a team; the later ones act only
+when those before them don't. A balancer allocates free units, and moves units that their holders
+promised not to use at the revision that the record builds on. Therefore a record may be lost,
+repeated or overtaken without two holders using the same unit.
 """
 
 from collections.abc import Iterator, Mapping
@@ -23,30 +24,31 @@
 from ._allowance_state import TeamBalance
 from ._config import Team
 from ._effects import Emit
-from ._events import PeerReceived, RecordWanted, Ticked
+from ._events import PeerReceived, RecordProposed, Ticked
 from ._handlers import HandlerTable
 from ._limits import revision
 from ._state import State
 
-# Time for which the last report of a holder counts.
+# Age up to which the last report of a holder is valid.
 REPORT_VALID_S = 6.0
-# Time between two rounds of balancing.
 BALANCE_EVERY_S = 0.2
-# Time between two records of one team, and for the answers to a question.
+# Minimum time between two records of one team.
 MOVE_EVERY_S = 1.0
-ASK_WAIT_S = 0.2
-ASK_AGAIN_S = 1.0
-# Time for which a second or third balancer waits for those before it.
-TAKE_OVER_S = 1.5
-# Time after which units that nobody holds and nobody waits for are handed out.
-SPREAD_AFTER_S = 1.0
+# Time to wait for promises, and time after which holders are asked for them again.
+CESSION_WAIT_S = 0.2
+CESSION_RETRY_S = 1.0
+# Additional delay of each further balancer, so that it acts only if those before it don't.
+TAKEOVER_DELAY_S = 1.5
+# Delay before free units without demand are allocated.
+ALLOCATE_SPARE_AFTER_S = 1.0
+# Rate and burst of this instance's allowance records.
 RECORDS_PER_S = 2.0
 RECORDS_BURST = 10.0
 
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Report the demand here, and balance the teams that fall to this instance.
+    Report this instance's demand, and balance the teams for which it is a balancer.
     """
     if own_lease(state) is None or state.limits.lease.released:
         return
@@ -58,7 +60,7 @@
     _refill_tokens(state, elapsed_s)
     if not state.log.available or state.limits.lease.until_s <= state.now_s:
         return
-    names = {*state.limits.balance.teams, *_unspread_teams(state)}
+    names = {*state.limits.balance.teams, *_unallocated_teams(state)}
     for name in sorted(names):
         team = state.fold.config.teams.get(name)
         order = demand.balancers(state, name)
@@ -69,7 +71,7 @@
 
 def on_peer(state: State, event: PeerReceived) -> Iterator[object]:
     """
-    Take in demand, questions and promises of other holders.
+    Process demand reports, cession requests and promises of other holders.
     """
     message = event.message
     if isinstance(message, DemandReported):
@@ -77,22 +79,24 @@
     elif isinstance(message, CessionAsked):
         yield from demand.answer_cession(state, event.sender, message)
     elif isinstance(message, UnitsCeded):
-        _take_promises(state, holder_key(event.sender), message.rows)
+        _record_promises(state, holder_key(event.sender), message.rows)
 
 
-def fill_evenly(wants: Mapping[str, int], units: int) -> dict[str, int]:
+def split_max_min(demands: Mapping[str, int], units: int) -> dict[str, int]:
     """
-    Split units so that the smallest part of those who want more is as large as it can be.
+    Split units by max-min fairness: the smallest part that is below its demand is maximized.
 
-    :param wants: units wanted by key.
+    :param demands: units demanded by key.
     :param units: units to split.
-    :returns: units by key; their sum is at most what there is.
+    :returns: units by key; their sum is at most `units`.
     """
-    parts = dict.fromkeys(wants, 0)
+    parts = dict.fromkeys(demands, 0)
     left = max(0, units)
-    open_keys = sorted((key for key, want in wants.items() if want > 0), key=lambda k: wants[k])
-    for index, key in enumerate(open_keys):
-        parts[key] = min(wants[key], -(-left // (len(open_keys) - index)))
+    unsatisfied = sorted(
+        (key for key, want in demands.items() if want > 0), key=lambda k: demands[k]
+    )
+    for index, key in enumerate(unsatisfied):
+        parts[key] = min(demands[key], -(-left // (len(unsatisfied) - index)))
         left -= parts[key]
     return parts
 
@@ -103,135 +107,141 @@
     balance.tokens = min(RECORDS_BURST, balance.tokens + elapsed_s * RECORDS_PER_S)
 
 
-def _unspread_teams(state: State) -> list[str]:
+def _unallocated_teams(state: State) -> list[str]:
     teams = state.fold.allowances.teams
     names = []
     for name, team in state.fold.config.teams.items():
         allowance = teams.get(name)
-        if allowance is None or _unheld(team, allowance) > 0:
+        if allowance is None or _unallocated_units(team, allowance) > 0:
             names.append(name)
     return names
 
 
-def _unheld(team: Team, allowance: TeamAllowance) -> int:
+def _unallocated_units(team: Team, allowance: TeamAllowance) -> int:
     return team.limit - sum(allowance.held.values()) - sum(allowance.recovering.values())
 
 
-def _balance(state: State, team: Team, order: int) -> Iterator[object]:
+def _balance(state: State, team: Team, precedence: int) -> Iterator[object]:
     view = state.limits.balance.teams.setdefault(team.name, TeamBalance())
     allowance = state.fold.allowances.teams.get(team.name, TeamAllowance())
-    wants = _wants(state, view)
-    held = _usable(state, team, view, allowance)
-    targets = _targets(team, allowance, wants)
+    demands = _demand_by_holder(state, view)
+    held = _usable_by_holder(state, team, view, allowance)
+    targets = _targets(team, allowance, demands)
     gains = {
         key: targets[key] - held[key]
         for key in targets
-        if targets[key] > held[key] and wants[key] > held[key]
+        if targets[key] > held[key] and demands[key] > held[key]
     }
-    unheld = _unheld(team, allowance)
-    if not gains and unheld <= 0:
-        view.short_since_s = None
+    unallocated = _unallocated_units(team, allowance)
+    if not gains and unallocated <= 0:
+        view.unbalanced_since_s = None
         return
-    if view.short_since_s is None:
-        view.short_since_s = state.now_s
-    wait_s = order * TAKE_OVER_S + (0.0 if gains else SPREAD_AFTER_S)
-    if state.now_s - view.short_since_s < wait_s or state.now_s - view.moved_at_s < MOVE_EVERY_S:
+    if view.unbalanced_since_s is None:
+        view.unbalanced_since_s = state.now_s
+    wait_s = precedence * TAKEOVER_DELAY_S + (0.0 if gains else ALLOCATE_SPARE_AFTER_S)
+    if (
+        state.now_s - view.unbalanced_since_s < wait_s
+        or state.now_s - view.moved_at_s < MOVE_EVERY_S
+    ):
         return
-    if gains and sum(gains.values()) > unheld and _must_wait(state, team, view, targets):
-        yield from _ask(state, team, view, targets)
-        if _must_wait(state, team, view, targets):
+    if gains and sum(gains.values()) > unallocated and _awaits_promises(state, team, view, targets):
+        yield from _request_cessions(state, team, view, targets)
+        if _awaits_promises(state, team, view, targets):
             return
     is_capped = any(held[key] < allowance.held.get(key, 0) for key in gains)
-    yield from _move(state, team, view, targets, is_capped)
+    yield from _propose_move(state, team, view, targets, is_capped)
 
 
-def _wants(state: State, view: TeamBalance) -> dict[str, int]:
-    wants = {}
+def _demand_by_holder(state: State, view: TeamBalance) -> dict[str, int]:
+    demands = {}
     for key in state.limits.balance.holders:
-        heard = view.demands.get(key)
-        is_valid = heard is not None and state.now_s - heard.at_s < REPORT_VALID_S
-        wants[key] = heard.row.units if heard is not None and is_valid else 0
-    view.demands = {key: heard for key, heard in view.demands.items() if key in wants}
-    return wants
+        report = view.demands.get(key)
+        is_valid = report is not None and state.now_s - report.at_s < REPORT_VALID_S
+        demands[key] = report.row.units if report is not None and is_valid else 0
+    view.demands = {key: report for key, report in view.demands.items() if key in demands}
+    return demands
 
 
-def _usable(
+def _usable_by_holder(
     state: State, team: Team, view: TeamBalance, allowance: TeamAllowance
 ) -> dict[str, int]:
     current = revision(state, team.name)
     usable = {}
     for key in state.limits.balance.holders:
         usable[key] = allowance.held.get(key, 0)
-        heard = view.demands.get(key)
-        if heard is not None and heard.row.revision == current:
-            usable[key] = min(usable[key], heard.row.usable)
+        report = view.demands.get(key)
+        if report is not None and report.row.revision == current:
+            usable[key] = min(usable[key], report.row.usable)
     return usable
 
 
-def _targets(team: Team, allowance: TeamAllowance, wants: dict[str, int]) -> dict[str, int]:
+def _targets(team: Team, allowance: TeamAllowance, demands: dict[str, int]) -> dict[str, int]:
     units = team.limit - sum(allowance.recovering.values())
-    wanted = fill_evenly(wants, units)
-    spare = units - sum(wanted.values())
-    base, extra = divmod(max(0, spare), max(1, len(wants)))
-    # Odd units go to holders in the order of their demand, the largest first.
-    order = sorted(wants, key=lambda key: (-wants[key], key))
-    return {key: wanted[key] + base + (place < extra) for place, key in enumerate(order)}
+    satisfied = split_max_min(demands, units)
+    spare = units - sum(satisfied.values())
+    base, extra = divmod(max(0, spare), max(1, len(demands)))
+    # The remainder of the division goes to the holders with the largest demand.
+    order = sorted(demands, key=lambda key: (-demands[key], key))
+    return {key: satisfied[key] + base + (index < extra) for index, key in enumerate(order)}
 
 
-def _givers(state: State, team: Team, targets: Mapping[str, int]) -> list[str]:
+def _holders_above_target(state: State, team: Team, targets: Mapping[str, int]) -> list[str]:
     allowance = state.fold.allowances.teams.get(team.name, TeamAllowance())
     return [key for key, units in allowance.held.items() if units > targets.get(key, 0)]
 
 
-def _must_wait(state: State, team: Team, view: TeamBalance, targets: Mapping[str, int]) -> bool:
+def _awaits_promises(
+    state: State, team: Team, view: TeamBalance, targets: Mapping[str, int]
+) -> bool:
     if view.asked_revision != revision(state, team.name):
         return True
-    answered = all(key in view.ceded for key in _givers(state, team, targets))
-    return not answered and state.now_s - view.asked_at_s < ASK_WAIT_S
+    all_promised = all(key in view.ceded for key in _holders_above_target(state, team, targets))
+    return not all_promised and state.now_s - view.asked_at_s < CESSION_WAIT_S
 
 
-def _ask(
+def _request_cessions(
     state: State, team: Team, view: TeamBalance, targets: Mapping[str, int]
 ) -> Iterator[object]:
     current = revision(state, team.name)
     is_new = view.asked_revision != current
-    if not is_new and state.now_s - view.asked_at_s < ASK_AGAIN_S:
+    if not is_new and state.now_s - view.asked_at_s < CESSION_RETRY_S:
         return
     if is_new:
         view.ceded = {}
     view.asked_revision = current
     view.asked_at_s = state.now_s
     own_key = holder_key(state.identity.sender)
-    for key in _givers(state, team, targets):
+    for key in _holders_above_target(state, team, targets):
         row = TeamUnits(team.name, current, targets.get(key, 0))
         if key == own_key:
-            _take_promises(state, own_key, demand.cede(state, (row,)))
+            _record_promises(state, own_key, demand.cede(state, (row,)))
         else:
             yield from demand.send(state, key, CessionAsked((row,)))
 
 
-def _take_promises(state: State, key: str, rows: tuple[TeamUnits, ...]) -> None:
+def _record_promises(state: State, key: str, rows: tuple[TeamUnits, ...]) -> None:
     for row in rows:
         view = state.limits.balance.teams.get(row.team)
         if view is not None and view.asked_revision == row.revision:
             view.ceded[key] = min(row.units, view.ceded.get(key, row.units))
 
 
-def _move(
+def _propose_move(
     state: State, team: Team, view: TeamBalance, targets: Mapping[str, int], is_capped: bool
 ) -> Iterator[object]:
     current = revision(state, team.name)
     allowance = state.fold.allowances.teams.get(team.name, TeamAllowance())
     ceded = view.ceded if view.asked_revision == current else {}
     changes = _changes(team, allowance, targets, ceded)
-    # A new revision ends promises that are not needed any more, also when nothing moves.
+    # When nothing moves, a record is still useful if promises cap a holder that could gain: its
+    # new revision ends them.
     if state.limits.balance.tokens < 1.0 or (not changes and not is_capped):
         return
     state.limits.balance.tokens -= 1.0
     view.moved_at_s = state.now_s
-    view.short_since_s = None
+    view.unbalanced_since_s = None
     body: dict[str, object] = {"team": team.name, "held": changes}
-    yield Emit(RecordWanted(ALLOWANCE_MOVED, allowance_subject(team.name), current, body))
+    yield Emit(RecordProposed(ALLOWANCE_MOVED, allowance_subject(team.name), current, body))
 
 
 def _changes(
@@ -239,9 +249,9 @@
 ) -> dict[str, int]:
     held = allowance.held
     new = {key: min(units, ceded.get(key, units)) for key, units in held.items()}
-    pool = team.limit - sum(new.values()) - sum(allowance.recovering.values())
+    available = team.limit - sum(new.values()) - sum(allowance.recovering.values())
     gains = {key: max(0, units - new.get(key, 0)) for key, units in targets.items()}
-    for key, units in fill_evenly(gains, pool).items():
+    for key, units in split_max_min(gains, available).items():
         new[key] = new.get(key, 0) + units
     return {key: units for key, units in new.items() if units != held.get(key, 0)}
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_demand.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_demand.py
@@ -1,5 +1,5 @@
 """
-Demand for a team's units at this instance, reported to the team's balancers.
+This instance's demand for units of teams, and its reports to their balancers.
 """
 
 from collections.abc import Iterator
@@ -16,24 +16,24 @@
 from ._allowance_state import HolderDemand, TeamBalance, UsageCap
 from ._effects import SendPeer
 from ._ids import Sender
-from ._limits import held_units, promised_units, revision
+from ._limits import capped_units, held_units, revision
 from ._state import State
 
 REPORT_EVERY_S = 0.2
-# Time between two reports of a demand that is met, when it changes and when it does not.
+# Interval of reports about a satisfied demand, when it changes and when it doesn't.
 CHANGE_EVERY_S = 0.5
 REFRESH_S = 2.0
-# Time in which a peak of demand falls to a half.
+# Half-life of the exponential decay of peak demand.
 PEAK_HALF_LIFE_S = 0.4
-# Peak below which there is no demand left.
-PEAK_FLOOR = 0.5
-# Holders that may balance a team.
+# Peaks below this many units are dropped.
+MIN_PEAK = 0.5
+# Number of holders that may balance a team.
 BALANCERS = 3
 
 
 def balancers(state: State, team: str) -> list[str]:
     """
-    Give the holders that balance a team, the first choice first.
+    Return the holders that may balance a team, in order of precedence.
 
     :param state: the state.
     :param team: ``WORKSPACE/TEAM``.
@@ -47,7 +47,7 @@
 
 def refresh_holders(state: State) -> None:
     """
-    Take over the holders from the fold; balancers are chosen among them.
+    Update the holders from the fold, and discard the choice of balancers when they change.
 
     :param state: changed in place.
     """
@@ -60,7 +60,7 @@
 
 def waiting_units(state: State) -> dict[str, int]:
     """
-    Count the waiting requests at this instance.
+    Return the number of requests that wait at this instance.
 
     :param state: the state.
     :returns: requests by team.
@@ -76,7 +76,7 @@
 
 def report(state: State) -> Iterator[object]:
     """
-    Tell the balancers of each team what this instance could use.
+    Report this instance's demand to the balancers of each team.
 
     :param state: the state.
     :returns: effects.
@@ -87,7 +87,7 @@
         return
     balance.reported_at_s = state.now_s
     demand = _measure(state, elapsed_s)
-    rows = [row for row in demand if _is_news(state, row)]
+    rows = [row for row in demand if _should_report(state, row)]
     by_balancer: dict[str, list[TeamDemand]] = {}
     for row in rows:
         balance.reported[row.team] = HolderDemand(row, state.now_s)
@@ -103,11 +103,11 @@
 
 def take_report(state: State, key: str, rows: tuple[TeamDemand, ...]) -> None:
     """
-    Remember a holder's demand.
+    Store the demand reported by a holder.
 
     :param state: changed in place.
     :param key: key of the holder.
-    :param rows: its demand.
+    :param rows: its demand by team.
     """
     views = state.limits.balance.teams
     for row in rows:
@@ -117,11 +117,11 @@
 
 def cede(state: State, rows: tuple[TeamUnits, ...]) -> tuple[TeamUnits, ...]:
     """
-    Promise to use no more than was asked, while the revisions stand.
+    Promise to use at most the requested units of each team while its revision is current.
 
     :param state: changed in place.
-    :param rows: units asked for.
-    :returns: the promises; running work may need more than was asked.
+    :param rows: the units that this instance is asked not to exceed.
+    :returns: the promises; more units than requested where running work uses more.
     """
     promises = []
     for row in rows:
@@ -140,11 +140,11 @@
 
 def answer_cession(state: State, sender: Sender, asked: CessionAsked) -> Iterator[object]:
     """
-    Answer a balancer's question.
+    Respond to a balancer's cession request with promises.
 
     :param state: changed in place.
     :param sender: the balancer.
-    :param asked: its question.
+    :param asked: its request.
     :returns: effects.
     """
     promises = cede(state, asked.rows)
@@ -154,7 +154,7 @@
 
 def send(state: State, key: str, message: object) -> Iterator[object]:
     """
-    Send a message to a holder whose address is known.
+    Send a message to a holder; dropped if its address is unknown.
 
     :param state: the state.
     :param key: key of the holder.
@@ -170,23 +170,23 @@
     waiting = waiting_units(state)
     running = state.limits.running
     peaks = state.limits.balance.peaks
-    fade = 0.5 ** (elapsed_s / PEAK_HALF_LIFE_S)
+    decay = 0.5 ** (elapsed_s / PEAK_HALF_LIFE_S)
     rows = []
     for name in sorted({*waiting, *running, *peaks}):
         team = state.fold.config.teams.get(name)
         units = waiting.get(name, 0) + running.get(name, 0)
         held = 0 if team is None else held_units(state, team)
-        peaks[name] = max(units, min(peaks.get(name, 0.0), held) * fade)
-        if peaks[name] < PEAK_FLOOR:
+        peaks[name] = max(units, min(peaks.get(name, 0.0), held) * decay)
+        if peaks[name] < MIN_PEAK:
             del peaks[name]
         if team is not None:
             recent = min(round(peaks.get(name, 0.0)), held)
-            usable = promised_units(state, team)
+            usable = capped_units(state, team)
             rows.append(TeamDemand(name, revision(state, name), max(units, recent), usable))
     return rows
 
 
-def _is_news(state: State, row: TeamDemand) -> bool:
+def _should_report(state: State, row: TeamDemand) -> bool:
     last = state.limits.balance.reported.get(row.team)
     if last is None:
         return row.units > 0
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_exchange.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_exchange.py
@@ -1,9 +1,9 @@
 """
-Exchange of aggregates, so that what a team is served at one entry instance counts at all.
+Exchange of each team's use and waiting requests, so that fair queueing spans all entry instances.
 
-Each instance tells the peers in its zone what it served each team and how many requests wait.
-One instance of the zone, its relay, tells the sums to an instance of each other zone, which
-passes them on to its own peers. Numbers are totals, so that a lost message costs nothing.
+Each instance reports to the peers in its zone what it served each team and how many requests wait.
+One instance of the zone, its relay, reports the sums to an instance of each other zone, which
+forwards them to its own peers. The reports contain totals, so a lost one is made up by the next.
 """
 
 from collections.abc import Iterator
@@ -12,7 +12,13 @@
 from ._effects import Emit, SendPeer
 from ._events import CapacityChanged, PeerReceived, Ticked
 from ._fair import count_waiting
-from ._fair_accounts import accrue, add_remote, advance_level, find_team, mark_active
+from ._fair_accounts import (
+    accrue,
+    add_remote_usage,
+    advance_virtual_time,
+    get_team_queue,
+    mark_active,
+)
 from ._fair_messages import ServedReported, ServiceRow, ZoneServedReported
 from ._fair_state import FairExchange, RemoteSource, ServiceQueue, TeamQueue
 from ._handlers import HandlerTable
@@ -22,40 +28,44 @@
 
 SEND_EVERY_S = 0.1
 RELAY_EVERY_S = 0.1
-# Rows sent each second to the zone, and as many to other zones; with more the intervals grow.
+# Maximum rate of rows sent within the zone, and of rows sent to other zones; if there are more
+# rows, reports are sent less often.
 ROWS_PER_S = 400.0
-# Time for which what another instance told counts, at least and in intervals of its messages.
+# Age up to which the last report of a source is valid: the larger of a fixed time and a multiple
+# of the interval between its reports.
 SOURCE_VALID_S = 1.5
 SOURCE_VALID_INTERVALS = 3.0
-# Time after its last demand for which a team is told about.
+# Time after its last demand for which a team is reported.
 ROW_VALID_S = 3.0
-# How far a team may run before one that waits elsewhere, in seconds of the level's growth.
+# Lead over a team that waits elsewhere at which slots are left to that team, as the time in which
+# the service's virtual time grows by that much.
 SLACK_S = 0.05
-# Time after which slots left free are taken again when nobody used them, and for how long.
+# Time after which slots are no longer left to a waiting team whose virtual time doesn't grow, and
+# time for which the ceiling is then off.
 HOLD_MAX_S = 2.0
-IGNORE_S = 5.0
+CEILING_OFF_S = 5.0
 
-# Sources that are whole zones have names that no instance has.
+# Prefix of sources that are whole zones; ids of instances never start with it.
 ZONE_SOURCE_PREFIX = "zone "
 
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Bring accounts up to date, and tell the peers.
+    Update the virtual times, and send reports that are due.
     """
     accrue(state.fair, state.now_s)
     for name, service in state.fair.services.items():
         _update_service(state, name, service)
     exchange = state.fair.exchange
     if state.now_s >= exchange.send_at_s:
-        yield from _tell_zone(state)
+        yield from _report_to_zone(state)
     if state.now_s >= exchange.relay_at_s:
-        yield from _tell_other_zones(state)
+        yield from _report_to_other_zones(state)
 
 
 def on_peer(state: State, event: PeerReceived) -> Iterator[object]:
     """
-    Take in what others served.
+    Process a report of a peer or of another zone.
     """
     message = event.message
     own = state.identity.sender
@@ -79,12 +89,12 @@
 
 def remote_waiting(state: State, service: str, team: str) -> int:
     """
-    Count a team's requests that wait for a service at other instances.
+    Return the number of a team's requests that wait for a service at other instances.
 
     :param state: the state.
     :param service: ``WORKSPACE/SERVICE``.
     :param team: ``WORKSPACE/TEAM``.
-    :returns: their number, as last told.
+    :returns: their number according to the last valid reports.
     """
     return sum(
         source.waiting.get((service, team), 0)
@@ -95,11 +105,11 @@
 
 def is_valid(state: State, source: RemoteSource) -> bool:
     """
-    Tell whether what another instance told last still counts.
+    Return whether the last report of a source is recent enough to count.
 
     :param state: the state.
-    :param source: the other instance.
-    :returns: whether it was heard lately.
+    :param source: another instance or zone.
+    :returns: whether it is.
     """
     valid_s = max(SOURCE_VALID_S, SOURCE_VALID_INTERVALS * source.interval_s)
     return state.now_s - source.at_s < valid_s
@@ -107,9 +117,9 @@
 
 def update_ceiling(state: State, service_name: str) -> None:
     """
-    Set how far teams of this instance may run before those that wait elsewhere.
+    Set the virtual time above which teams leave slots to teams that wait at other instances.
 
-    :param state: the state.
+    :param state: changed in place.
     :param service_name: ``WORKSPACE/SERVICE``.
     """
     service = state.fair.services[service_name]
@@ -127,25 +137,27 @@
         if count_waiting(team) or remote[team_name] or team_name in running:
             mark_active(service, team, state.now_s)
 
-    def waits(team_name: str, team: TeamQueue) -> bool:
+    def is_waiting(team_name: str, team: TeamQueue) -> bool:
         return remote[team_name] > 0 or (count_waiting(team) > 0 and not team.is_blocked)
 
-    advance_level(service, state.now_s, waits)
+    advance_virtual_time(service, state.now_s, is_waiting)
     _set_ceiling(state, service, remote)
 
 
 def _set_ceiling(state: State, service: ServiceQueue, remote: dict[str, int]) -> None:
     service.ceiling_s = float("inf")
-    behind = [service.teams[name].virtual_s for name, waiting in remote.items() if waiting > 0]
-    if not behind or state.now_s < service.ignore_until_s:
-        service.held_since_s = state.now_s
+    waiting_virtual_s = [
+        service.teams[name].virtual_s for name, waiting in remote.items() if waiting > 0
+    ]
+    if not waiting_virtual_s or state.now_s < service.ceiling_off_until_s:
+        service.ceiling_since_s = state.now_s
         return
-    lowest_s = min(behind)
-    if lowest_s != service.held_at_s:
-        service.held_at_s = lowest_s
-        service.held_since_s = state.now_s
-    if state.now_s - service.held_since_s > HOLD_MAX_S:
-        service.ignore_until_s = state.now_s + IGNORE_S
+    lowest_s = min(waiting_virtual_s)
+    if lowest_s != service.ceiling_team_s:
+        service.ceiling_team_s = lowest_s
+        service.ceiling_since_s = state.now_s
+    if state.now_s - service.ceiling_since_s > HOLD_MAX_S:
+        service.ceiling_off_until_s = state.now_s + CEILING_OFF_S
         return
     service.ceiling_s = lowest_s + SLACK_S * service.rate
 
@@ -175,7 +187,7 @@
     return tuple(rows)
 
 
-def _tell_zone(state: State) -> Iterator[object]:
+def _report_to_zone(state: State) -> Iterator[object]:
     rows = tuple(_own_rows(state).values())
     if not rows:
         return
@@ -190,7 +202,7 @@
         yield SendPeer(member.peer_address, message)
 
 
-def _tell_other_zones(state: State) -> Iterator[object]:
+def _report_to_other_zones(state: State) -> Iterator[object]:
     zones = relayed_zones(state)
     rows = _zone_rows(state) if zones else ()
     if not rows:
@@ -204,7 +216,7 @@
     for zone in zones:
         addresses = [member.peer_address for member in others if member.zone == zone]
         if addresses:
-            # Another instance each time, so that one that is gone costs only some messages.
+            # Receivers alternate, so that an unreachable instance loses only some of the reports.
             yield SendPeer(addresses[sequence // 2 % len(addresses)], message)
 
 
@@ -238,13 +250,13 @@
     state: State, exchange: FairExchange, source: RemoteSource, row: ServiceRow, is_peer: bool
 ) -> None:
     key = (row.service, row.team)
-    # What was served before this instance first heard of it is not counted.
+    # Use before the first report about this team from this source is not counted.
     step_s = row.served_s - source.served.get(key, row.served_s)
     source.served[key] = row.served_s
-    team = find_team(state.fair, row.service, row.team)
+    team = get_team_queue(state.fair, row.service, row.team)
     if step_s > 0 or row.waiting > 0:
         mark_active(state.fair.services[row.service], team, state.now_s)
-    add_remote(state.fair, row.service, row.team, step_s)
+    add_remote_usage(state.fair, row.service, row.team, step_s)
     if is_peer:
         exchange.zone_served[key] = exchange.zone_served.get(key, 0.0) + step_s
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_offers.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_offers.py
@@ -1,7 +1,7 @@
 """
-Offers of free slots, so that a slot left to a team that waits elsewhere is used at once.
+Offers of free slots to other instances, so that a slot left to a team waiting there is used soon.
 
-An offer is a hint: whoever gets it tries the endpoint, and the endpoint still decides.
+An offer is only a hint: the receiver tries the endpoint, which may still refuse the attempt.
 """
 
 from collections.abc import Iterator
@@ -17,17 +17,17 @@
 from ._state import State
 from ._wire import register_message
 
-# Times that an offer is passed on inside the zone that it was sent to.
-MAX_PASSES = 1
+# Maximum number of times that an offer is forwarded within the zone that it was sent to.
+MAX_HOPS = 1
 
 
 class SlotReleased(NamedTuple):
     """
-    An attempt of this instance has ended.
+    An attempt of this instance has ended and released its slot.
 
     :param service: ``WORKSPACE/SERVICE``.
     :param endpoint: id of the endpoint.
-    :param in_flight: attempts that this instance still had there.
+    :param in_flight: attempts that this instance still had in flight there at that time.
     """
 
     service: str
@@ -35,9 +35,9 @@
     in_flight: int
 
 
-class SlotGained(NamedTuple):
+class SlotReceived(NamedTuple):
     """
-    Another instance left a slot to this one.
+    Another instance has offered a slot to this one.
 
     :param service: ``WORKSPACE/SERVICE``.
     :param endpoint: id of the endpoint.
@@ -50,21 +50,21 @@
 @register_message
 class SlotOffered(NamedTuple):
     """
-    An endpoint has a slot that the sender leaves to the receiver.
+    Offer of a free slot at an endpoint to the receiver.
 
     :param service: ``WORKSPACE/SERVICE``.
     :param endpoint: id of the endpoint.
-    :param passes: times that the offer was passed on.
+    :param hops: number of times that the offer was forwarded.
     """
 
     service: str
     endpoint: str
-    passes: int
+    hops: int
 
 
-def on_released(state: State, event: SlotReleased) -> Iterator[object]:
+def on_slot_released(state: State, event: SlotReleased) -> Iterator[object]:
     """
-    Offer the slot elsewhere when nothing here took it.
+    Offer the slot to another instance if no request took it here.
     """
     endpoint = state.endpoints.endpoints.get(event.endpoint)
     if endpoint is None or endpoint.leaving or endpoint.in_flight > event.in_flight:
@@ -74,16 +74,16 @@
 
 def on_peer(state: State, event: PeerReceived) -> Iterator[object]:
     """
-    Try a slot that was offered, or pass the offer on.
+    Use an offered slot, or forward the offer.
     """
     offer = event.message
     if not isinstance(offer, SlotOffered):
         return
     service = state.fair.services.get(offer.service)
     if service is not None and any(is_waiting(team) for team in service.teams.values()):
-        yield Emit(SlotGained(offer.service, offer.endpoint))
-    elif offer.passes < MAX_PASSES:
-        yield from _offer(state, offer._replace(passes=offer.passes + 1))
+        yield Emit(SlotReceived(offer.service, offer.endpoint))
+    elif offer.hops < MAX_HOPS:
+        yield from _offer(state, offer._replace(hops=offer.hops + 1))
 
 
 def _offer(state: State, offer: SlotOffered) -> Iterator[object]:
@@ -91,25 +91,26 @@
     if team is None:
         return
     key = (offer.service, team)
-    # Passed-on offers stay in the zone, so that none wanders between zones.
+    # Forwarded offers stay within the zone, so that none is forwarded from zone to zone.
     sources = {
         name: source.waiting[key]
         for name, source in state.fair.exchange.sources.items()
         if is_valid(state, source)
         and key in source.waiting
-        and not (offer.passes > 0 and name.startswith(ZONE_SOURCE_PREFIX))
+        and not (offer.hops > 0 and name.startswith(ZONE_SOURCE_PREFIX))
     }
     if not sources:
         return
     chosen = state.rng.choices(list(sources), list(sources.values()))[0]
-    address = _address(state, chosen)
+    address = _offer_address(state, chosen)
     if address is not None:
         _count_offer(state, chosen, key)
         yield SendPeer(address, offer)
 
 
 def _count_offer(state: State, chosen: str, key: tuple[str, str]) -> None:
-    # Until the next report, one request less waits there; so no more slots are left than needed.
+    # Assume until the next report that one request fewer waits there, so that no more slots are
+    # offered than needed.
     waiting = state.fair.exchange.sources[chosen].waiting
     waiting[key] -= 1
     if waiting[key] <= 0:
@@ -125,7 +126,7 @@
     return min(waiting, key=lambda name: service.teams[name].virtual_s, default=None)
 
 
-def _address(state: State, source: str) -> str | None:
+def _offer_address(state: State, source: str) -> str | None:
     if not source.startswith(ZONE_SOURCE_PREFIX):
         peer = state.membership.peers.get(source)
         return None if peer is None else peer.peer_address
@@ -134,4 +135,4 @@
     return state.rng.choice(addresses) if addresses else None
 
 
-HANDLERS: HandlerTable = {SlotReleased: on_released, PeerReceived: on_peer}
+HANDLERS: HandlerTable = {SlotReleased: on_slot_released, PeerReceived: on_peer}
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_refusals.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_refusals.py
@@ -1,5 +1,5 @@
 """
-Refusals and failures that a caller can be told, each with a code.
+Refusals and failures that are reported to callers, each with a code.
 """
 
 from typing import Literal, NamedTuple
@@ -13,10 +13,10 @@
     """
     One kind of refusal.
 
-    :param name: code in the answer's ``error`` field.
+    :param name: code in the ``error`` field of the response.
     :param status: HTTP status.
-    :param run_state: whether the request certainly did not run.
-    :param message: text for people.
+    :param run_state: ``not_run`` if the request certainly did not run, else ``unknown``.
+    :param message: human-readable text.
     """
 
     name: str
@@ -27,11 +27,11 @@
 
 class Refusal(NamedTuple):
     """
-    A refusal of one request.
+    The refusal of one request.
 
-    :param code: its kind.
-    :param retry_after_s: seconds after which a repeat is useful, or ``None`` when it is not.
-    :param detail: more for people; holds nothing of another workspace.
+    :param code: the kind of refusal.
+    :param retry_after_s: seconds after which a retry is useful, or ``None`` if it never is.
+    :param detail: additional human-readable text; contains nothing about other workspaces.
     """
 
     code: RefusalCode
@@ -41,10 +41,10 @@
 
 def for_repeat(refusal: Refusal) -> Refusal:
     """
-    Give a refusal as told to a caller that has sent the request before.
+    Return a refusal with an unknown run state, for a request that may have run in an earlier try.
 
-    :param refusal: a refusal that says what is true of this exchange.
-    :returns: the same, but it says nothing about earlier exchanges of the request.
+    :param refusal: a refusal that describes only the current exchange.
+    :returns: the refusal for a caller that may have sent the request before.
     """
     return refusal._replace(code=refusal.code._replace(run_state=UNKNOWN))
 
@@ -76,7 +76,10 @@
     "request_conflict", 409, UNKNOWN, "another request has used this request id"
 )
 HELD_ELSEWHERE = RefusalCode(
-    "held_elsewhere", 409, UNKNOWN, "another instance has taken the request; its outcome is there"
+    "held_elsewhere",
+    409,
+    UNKNOWN,
+    "another instance has taken the request; its outcome is there",
 )
 UNRESOLVED = RefusalCode(
     "unresolved", 503, UNKNOWN, "instances that may know the request id cannot be reached"
--- a/packages/eelgrassdrum-core/tests/test_fair.py
+++ b/packages/eelgrassdrum-core/tests/test_fair.py
@@ -1,8 +1,8 @@
 """
-Fair queueing within one instance, and the accounts behind it.
+Tests of fair queueing within one instance, and of the accounting of virtual time.
 """
 
-from eelgrassdrum_core import _fair, _fair_accounts, _fair_room
+from eelgrassdrum_core import _fair, _fair_accounts, _fair_eviction
 from eelgrassdrum_core._fair_state import FairState
 from eelgrassdrum_core._requests import Request
 
@@ -12,7 +12,7 @@
 
 def request(token: int, team: str, *, urgent: bool = False) -> Request:
     """
-    Make a request of a team.
+    Build a request of a team.
     """
     return Request(
         token, f"r{token}", "show/scores", SERVICE, team, False, urgent, 0.0, 9.0, 9.0, 9.0, 10
@@ -21,7 +21,7 @@
 
 def fill(fair: FairState, team: str, count: int, now_s: float = 0.0) -> None:
     """
-    Let some requests of a team wait.
+    Add requests of a team to its queue.
     """
     for token in range(count):
         _fair.push(fair, request(token, team), now_s)
@@ -29,7 +29,7 @@
 
 def run_next(fair: FairState, shares: dict[str, float], run_s: float, now_s: float) -> str:
     """
-    Start the next request and end it after some time; give its team.
+    Start the next request and end it after the given run time; return its team.
     """
     req = _fair.pop(fair, SERVICE, lambda req: True)
     assert req is not None
@@ -38,9 +38,9 @@
     return req.team
 
 
-def account_s(fair: FairState, team: str) -> float:
+def virtual_s(fair: FairState, team: str) -> float:
     """
-    Give a team's account.
+    Return a team's virtual time.
     """
     return fair.services[SERVICE].teams[team].virtual_s
 
@@ -50,7 +50,7 @@
 
 def test_starts_follow_shares(fair: FairState) -> None:
     """
-    A team with twice the share is served twice as often when both wait.
+    While both teams wait, a team with twice the share is served twice as often.
     """
     shares = {"x": 2.0, "y": 1.0}
     fill(fair, "x", 40)
@@ -67,7 +67,7 @@
     fill(fair, "short", 60)
     served = []
     for _ in range(50):
-        team = "long" if account_s(fair, "long") <= account_s(fair, "short") else "short"
+        team = "long" if virtual_s(fair, "long") <= virtual_s(fair, "short") else "short"
         served.append(
             run_next(fair, {"long": 1.0, "short": 1.0}, 4.0 if team == "long" else 1.0, 0)
         )
@@ -76,27 +76,27 @@
 
 def test_running_work_is_charged_as_it_runs(fair: FairState) -> None:
     """
-    An attempt is charged an estimate at its start, more as it runs on, and what it took at its end.
+    An attempt is charged an estimate, then the elapsed time if longer, and finally its run time.
     """
     fill(fair, "x", 1)
     req = _fair.pop(fair, SERVICE, lambda req: True)
     assert req is not None
     _fair_accounts.open_charge(fair, "a", req, 1.0, 0.0)
-    assert account_s(fair, "x") == _fair_accounts.FIRST_ESTIMATE_S
+    assert virtual_s(fair, "x") == _fair_accounts.INITIAL_ESTIMATE_S
     _fair_accounts.accrue(fair, 5.0)
-    assert account_s(fair, "x") == 5.0
+    assert virtual_s(fair, "x") == 5.0
     _fair_accounts.close_charge(fair, "a", 6.0, ran=True)
-    assert account_s(fair, "x") == 6.0
+    assert virtual_s(fair, "x") == 6.0
     fill(fair, "x", 1)
     _fair_accounts.open_charge(fair, "b", request(1, "x"), 1.0, 6.0)
-    assert account_s(fair, "x") == 12.0
+    assert virtual_s(fair, "x") == 12.0
     _fair_accounts.close_charge(fair, "b", 7.0, ran=False)
-    assert account_s(fair, "x") == 6.0
+    assert virtual_s(fair, "x") == 6.0
 
 
-def test_idle_team_returns_at_the_level(fair: FairState) -> None:
+def test_idle_team_gets_no_credit(fair: FairState) -> None:
     """
-    A team that was away neither has credit from that time nor owes for it.
+    A team that was idle is neither credited nor charged for the idle time.
     """
     fill(fair, "busy", 50)
     fill(fair, "away", 1)
@@ -105,35 +105,35 @@
     for step in range(20):
         run_next(fair, {"busy": 1.0}, RUN_S, float(step))
         service = fair.services[SERVICE]
-        _fair_accounts.advance_level(service, step + 1.0, lambda name, team: name == "busy")
+        _fair_accounts.advance_virtual_time(service, step + 1.0, lambda name, team: name == "busy")
     fill(fair, "away", 1, now_s=30.0)
-    assert abs(account_s(fair, "away") - account_s(fair, "busy")) <= RUN_S
+    assert abs(virtual_s(fair, "away") - virtual_s(fair, "busy")) <= RUN_S
 
 
-def test_accounts_meet_when_nobody_waits(fair: FairState) -> None:
+def test_earlier_use_is_forgotten_without_a_queue(fair: FairState) -> None:
     """
-    When nobody waits, what teams used before no longer matters.
+    When no team waits, earlier use no longer counts.
     """
     fill(fair, "x", 1)
     fill(fair, "y", 1)
     run_next(fair, {"x": 1.0, "y": 1.0}, 100.0, 0.0)
-    _fair_accounts.advance_level(fair.services[SERVICE], 200.0, lambda name, team: False)
-    assert account_s(fair, "x") == account_s(fair, "y")
+    _fair_accounts.advance_virtual_time(fair.services[SERVICE], 200.0, lambda name, team: False)
+    assert virtual_s(fair, "x") == virtual_s(fair, "y")
 
 
 def test_changed_share_counts_from_now(fair: FairState) -> None:
     """
-    A new share changes what later work costs, not what was charged before.
+    A changed share applies to later charges only.
     """
     fill(fair, "x", 2)
     run_next(fair, {"x": 1.0}, 4.0, 0.0)
     run_next(fair, {"x": 4.0}, 4.0, 4.0)
-    assert account_s(fair, "x") == 5.0
+    assert virtual_s(fair, "x") == 5.0
 
 
 def test_urgent_goes_first_in_its_team_only(fair: FairState) -> None:
     """
-    Urgent requests pass others of their team, but give it no larger share.
+    Urgent requests are served before others of their team, but don't increase its share.
     """
     fill(fair, "x", 3)
     fill(fair, "y", 3)
@@ -150,7 +150,7 @@
 
 def test_team_ahead_leaves_slots_to_others(fair: FairState) -> None:
     """
-    Above the ceiling nothing starts, unless another instance has left a slot to this one.
+    Requests of a team above the ceiling don't start, except in a slot offered by another instance.
     """
     fill(fair, "x", 2)
     fair.services[SERVICE].teams["x"].virtual_s = 2.0
@@ -159,24 +159,24 @@
     assert _fair.pop(fair, SERVICE, lambda req: True, ignore_ceiling=True) is not None
 
 
-def test_flood_gives_way_in_a_full_queue(fair: FairState) -> None:
+def test_full_queue_evicts_from_the_largest_team(fair: FairState) -> None:
     """
-    In a full queue the longest line loses its newest request to a team with a shorter one.
+    A full queue evicts the newest request of the largest team in favour of a smaller team.
     """
     fill(fair, "flood", 10)
     fill(fair, "small", 2)
-    excess = _fair_room.take_excess(fair, SERVICE, "show/scores", "small")
+    excess = _fair_eviction.evict_newest_excess(fair, SERVICE, "show/scores", "small")
     assert excess is not None
     assert (excess.team, excess.token) == ("flood", 9)
     assert fair.queued["show/scores"] == 11
-    assert _fair_room.take_excess(fair, SERVICE, "show/scores", "flood") is None
+    assert _fair_eviction.evict_newest_excess(fair, SERVICE, "show/scores", "flood") is None
 
 
-def test_tried_requests_keep_their_place(fair: FairState) -> None:
+def test_tried_requests_are_not_evicted(fair: FairState) -> None:
     """
-    A request that was tried may have run, so it is never taken out as not run.
+    A request that was already tried is never evicted, because it may have run.
     """
     fill(fair, "flood", 10)
     for req in fair.services[SERVICE].teams["flood"].normal:
         req.tries = 1
-    assert _fair_room.take_excess(fair, SERVICE, "show/scores", "small") is None
+    assert _fair_eviction.evict_newest_excess(fair, SERVICE, "show/scores", "small") is None
--- a/packages/eelgrassdrum-core/tests/test_request_path.py
+++ b/packages/eelgrassdrum-core/tests/test_request_path.py
@@ -1,5 +1,5 @@
 """
-The way of one request through the reducer.
+Tests of the path of a request through the reducer.
 """
 
 from eelgrassdrum_core import (
@@ -51,7 +51,7 @@
 
 def record(sequence: int, kind: str, subject: str, base: int | None, body: dict) -> StoredRecord:
     """
-    Make a stored record whose offset is its sequence.
+    Build a stored record whose offset equals its sequence number.
     """
     return StoredRecord(
         sequence, Record(RecordId("operator", 1, sequence), kind, subject, base, body)
@@ -60,14 +60,14 @@
 
 def own_record(offset: int, kind: str, subject: str, body: dict) -> StoredRecord:
     """
-    Make a stored record of the instance under test, the first of its subject.
+    Build a stored record written by the instance under test, the first of its subject.
     """
     return StoredRecord(offset, Record(RecordId("entry-a1", 1, offset), kind, subject, 0, body))
 
 
 def make_state() -> State:
     """
-    Give an instance with one queue, one key, the team's whole limit and one endpoint of one slot.
+    Return an instance with a queue, a key, the team's whole limit and one endpoint with one slot.
     """
     identity = Identity(Sender("entry-a1", 1, "a"), "127.0.0.1:1", "127.0.0.1:2")
     state = new_state(identity, Tuning(entry_instances=1))
@@ -86,7 +86,7 @@
 
 def submit(token: int, credential: Credential | None, **changes: object) -> events.RequestReceived:
     """
-    Make a request to the one queue.
+    Build the event of a request to the queue.
     """
     request = events.RequestReceived(
         token, f"r{token}", "show/scores", credential, False, False, 2.0, 10
@@ -94,9 +94,9 @@
     return request._replace(**changes)
 
 
-def only(kind: type, produced: list[object]) -> list:
+def effects_of_type(kind: type, produced: list[object]) -> list:
     """
-    Give the effects of one type.
+    Return the effects of one type.
     """
     return [effect for effect in produced if isinstance(effect, kind)]
 
@@ -106,32 +106,32 @@
 
 def test_answer_reaches_its_caller(state: State, credential: Credential) -> None:
     """
-    A request under a granted key is dispatched, and its answer goes to its own exchange.
+    A request with a granted key is dispatched, and the response is sent to its own exchange.
     """
     _, produced = reduce(state, 2.0, submit(7, credential))
-    [dispatch] = only(effects.Dispatch, produced)
+    [dispatch] = effects_of_type(effects.Dispatch, produced)
     assert (dispatch.token, dispatch.endpoint, dispatch.team) == (7, "ep-1", "show/judges")
     _, produced = reduce(state, 2.5, events.AttemptAnswered(dispatch.attempt, 200, 5))
-    assert only(effects.Reply, produced) == [effects.Reply(7, dispatch.attempt)]
+    assert effects_of_type(effects.Reply, produced) == [effects.Reply(7, dispatch.attempt)]
     assert state.requests.open_tokens == {}
 
 
 def test_second_answer_is_dropped(state: State, credential: Credential) -> None:
     """
-    An answer that comes twice is given once.
+    A duplicate response of an attempt is dropped.
     """
     _, produced = reduce(state, 2.0, submit(7, credential))
-    [dispatch] = only(effects.Dispatch, produced)
+    [dispatch] = effects_of_type(effects.Dispatch, produced)
     answer = events.AttemptAnswered(dispatch.attempt, 200, 5)
     reduce(state, 2.5, answer)
     _, produced = reduce(state, 2.6, answer)
-    assert only(effects.Reply, produced) == []
-    assert only(effects.DropAnswer, produced) == [effects.DropAnswer(dispatch.attempt)]
+    assert effects_of_type(effects.Reply, produced) == []
+    assert effects_of_type(effects.DropAnswer, produced) == [effects.DropAnswer(dispatch.attempt)]
 
 
 def test_withdrawn_key_is_refused(state: State, credential: Credential) -> None:
     """
-    After a withdrawal the key opens nothing, and a later grant does not bring it back.
+    A withdrawn key is refused, also when a later record grants it again.
     """
     body = {"workspace": "show", "key_id": "k1"}
     records = (
@@ -140,38 +140,38 @@
     )
     reduce(state, 2.0, events.LogRead(records, 6))
     _, produced = reduce(state, 2.0, submit(7, credential))
-    [refuse] = only(effects.Refuse, produced)
+    [refuse] = effects_of_type(effects.Refuse, produced)
     assert refuse.refusal.code == refusals.KEY_REFUSED
 
 
 def test_non_idempotent_attempt_is_not_sent_again(state: State, credential: Credential) -> None:
     """
-    When bytes were sent and no answer came, the caller is told that the outcome is unknown.
+    If bytes were sent and no response arrived, the outcome is reported to the caller as unknown.
     """
     _, produced = reduce(state, 2.0, submit(7, credential))
-    [dispatch] = only(effects.Dispatch, produced)
+    [dispatch] = effects_of_type(effects.Dispatch, produced)
     _, produced = reduce(state, 2.1, events.AttemptFailed(dispatch.attempt, True, "closed"))
-    [refuse] = only(effects.Refuse, produced)
+    [refuse] = effects_of_type(effects.Refuse, produced)
     assert refuse.refusal.code.run_state == refusals.UNKNOWN
-    assert only(effects.Dispatch, produced) == []
+    assert effects_of_type(effects.Dispatch, produced) == []
 
 
 def test_unsent_attempt_is_tried_again(state: State, credential: Credential) -> None:
     """
-    When no byte was sent, the request is dispatched again under a new attempt.
+    If no byte was sent, the request is dispatched again as a new attempt.
     """
     _, produced = reduce(state, 2.0, submit(7, credential))
-    [first] = only(effects.Dispatch, produced)
+    [first] = effects_of_type(effects.Dispatch, produced)
     reduce(state, 2.1, events.AttemptFailed(first.attempt, False, "connect"))
     _, produced = reduce(state, 3.0, events.Ticked())
-    [second] = only(effects.Dispatch, produced)
+    [second] = effects_of_type(effects.Dispatch, produced)
     assert second.token == 7
     assert second.attempt != first.attempt
 
 
 def test_stale_writer_loses(state: State) -> None:
     """
-    Of two documents built on the same revision, the first in the log wins.
+    Of two documents that build on the same revision, only the first in the log is accepted.
     """
     published = {"name": "show", "document": DOCUMENT, "author": "op", "comment": ""}
     records = (
