--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_admission.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_admission.py
@@ -51,13 +51,13 @@
         return
     if event.credential is not None and not _may_take_key(state, team):
         if queue.keyed:
-            yield _refuse(state, event, _freshness.refuse_unverified(state))
+            yield _refuse(state, event, _freshness.unverified_refusal(state))
             return
         team = f"{queue.workspace}/{OPEN_TEAM}"
     key = hash_request(_scope(queue, team, event), event.request_id)
     known = state.joins.known.get(key)
     if known is not None:
-        yield from _joins.join(state, known, event)
+        yield from _joins.join_duplicate(state, known, event)
         return
     yield from _make_room(state, queue, team, event)
     refusal = _refuse_load(state, queue, team, event)
@@ -93,7 +93,7 @@
     if req.idempotent:
         yield Emit(RequestClaimed(req))
     else:
-        yield from _joins_claims.begin(state, req)
+        yield from _joins_claims.request_claim(state, req)
 
 
 def _refuse(state: State, event: RequestReceived, refusal: Refusal) -> Refuse:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_relay.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_catch_up.py
@@ -23,7 +23,7 @@
 ANSWER_TIMEOUT_S = 1.0
 ANSWER_BYTES = 256 * 1024
 # An instance that reads the log itself leaves it so much time before it asks a peer.
-LOG_FIRST_S = 1.0
+LOG_GRACE_S = 1.0
 
 
 @register_message
@@ -45,20 +45,20 @@
     :param records: records in offset order, which need not be all.
     :param first: oldest offset that the peer holds.
     :param next_offset: first offset that the peer has not folded.
-    :param whole: whether the peer's fold is whole.
+    :param caught_up: whether the peer's fold is whole.
     """
 
     records: tuple[StoredRecord, ...]
     first: int
     next_offset: int
-    whole: bool
+    caught_up: bool
 
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
     Ask a peer when one has folded further.
     """
-    yield from _ask(state)
+    yield from _request_records(state)
 
 
 def on_peer(state: State, event: PeerReceived) -> Iterator[object]:
@@ -69,11 +69,11 @@
     if peer is None or peer.sender != event.sender:
         return
     if isinstance(event.message, Heartbeat):
-        yield from _ask(state)
+        yield from _request_records(state)
     elif isinstance(event.message, RecordsAsked):
-        yield from _give(state, peer, event.message.from_offset)
+        yield from _send_records(state, peer, event.message.from_offset)
     elif isinstance(event.message, RecordsGiven):
-        yield from _take(state, peer, event.message)
+        yield from _apply_records(state, peer, event.message)
 
 
 def reads_log(state: State) -> bool:
@@ -84,29 +84,29 @@
     :returns: whether the last read was answered, and not too long ago.
     """
     log = state.log
-    patience_s = state.tuning.log_wait_s + LOG_FIRST_S
-    return log.available and state.now_s - log.answered_s <= patience_s
+    max_silence_s = state.tuning.log_wait_s + LOG_GRACE_S
+    return log.available and state.now_s - log.answered_s <= max_silence_s
 
 
-def _ask(state: State) -> Iterator[object]:
-    relay = state.relay
+def _request_records(state: State) -> Iterator[object]:
+    catch_up = state.catch_up
     if state.snapshots.phase != WHOLE:
         return
     ahead = _peers_ahead(state)
     if not ahead:
-        relay.ahead_since_s = NEVER_S
+        catch_up.ahead_since_s = NEVER_S
         return
-    if relay.ahead_since_s == NEVER_S:
-        relay.ahead_since_s = state.now_s
-    if reads_log(state) and state.now_s - relay.ahead_since_s < LOG_FIRST_S:
+    if catch_up.ahead_since_s == NEVER_S:
+        catch_up.ahead_since_s = state.now_s
+    if reads_log(state) and state.now_s - catch_up.ahead_since_s < LOG_GRACE_S:
         return
-    if relay.asked and state.now_s - relay.asked_s < ANSWER_TIMEOUT_S:
+    if catch_up.peer and state.now_s - catch_up.requested_s < ANSWER_TIMEOUT_S:
         return
     # A peer that did not answer is asked again only when there is no other.
-    others = [peer for peer in ahead if peer.sender.instance != relay.asked]
+    others = [peer for peer in ahead if peer.sender.instance != catch_up.peer]
     chosen = (others or ahead)[0]
-    relay.asked = chosen.sender.instance
-    relay.asked_s = state.now_s
+    catch_up.peer = chosen.sender.instance
+    catch_up.requested_s = state.now_s
     yield SendPeer(chosen.peer_address, RecordsAsked(state.fold.position.next_offset))
 
 
@@ -120,10 +120,10 @@
         for peer in state.membership.peers.values()
         if peer.next_offset >= wanted and peer.state != DEAD
     ]
-    return sorted(ahead, key=lambda p: (p.sender.zone != own_zone, -p.heard_s))
+    return sorted(ahead, key=lambda p: (p.sender.zone != own_zone, -p.last_seen_s))
 
 
-def _give(state: State, peer: Peer, from_offset: int) -> Iterator[object]:
+def _send_records(state: State, peer: Peer, from_offset: int) -> Iterator[object]:
     records = state.tail.records
     own_next = state.fold.position.next_offset
     first = records[0].stored.offset if records else own_next
@@ -135,27 +135,27 @@
             if chosen and size > ANSWER_BYTES:
                 break
             chosen.append(records[index].stored)
-    state.relay.records_given += len(chosen)
+    state.catch_up.records_given += len(chosen)
     answer = RecordsGiven(tuple(chosen), first, own_next, state.log.caught_up)
     yield SendPeer(peer.peer_address, answer)
 
 
-def _take(state: State, peer: Peer, given: RecordsGiven) -> Iterator[object]:
-    if peer.sender.instance == state.relay.asked:
-        state.relay.asked = ""
+def _apply_records(state: State, peer: Peer, given: RecordsGiven) -> Iterator[object]:
+    if peer.sender.instance == state.catch_up.peer:
+        state.catch_up.peer = ""
     if state.snapshots.phase != WHOLE:
         return
     before = state.fold.position.next_offset
     for stored in given.records:
         yield from fold_stored(state, stored)
     own_next = state.fold.position.next_offset
-    state.relay.records_taken += own_next - before
-    if given.whole and own_next >= given.next_offset:
+    state.catch_up.records_taken += own_next - before
+    if given.caught_up and own_next >= given.next_offset:
         state.log.caught_up = True
     elif given.first > own_next and not reads_log(state):
         yield Emit(SnapshotNeeded("peer holds no older records"))
     elif own_next > before:
-        yield from _ask(state)
+        yield from _request_records(state)
 
 
 HANDLERS: HandlerTable = {Ticked: on_tick, PeerReceived: on_peer}
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_relay_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_catch_up_state.py
@@ -7,19 +7,19 @@
 from ._log_state import NEVER_S
 
 
-class RelayState(msgspec.Struct):
+class CatchUpState(msgspec.Struct):
     """
     The open question to a peer.
 
-    :param asked: instance that was asked, or empty.
-    :param asked_s: time of asking.
+    :param peer: instance that was asked, or empty.
+    :param requested_s: time of asking.
     :param ahead_since_s: time since which some peer has folded further, or -1.
     :param records_given: records sent to peers since the start.
     :param records_taken: records folded from peers since the start.
     """
 
-    asked: str = ""
-    asked_s: float = NEVER_S
+    peer: str = ""
+    requested_s: float = NEVER_S
     ahead_since_s: float = NEVER_S
     records_given: int = 0
     records_taken: int = 0
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fold.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fold.py
@@ -22,7 +22,7 @@
 REASON_UNKNOWN_KIND = "unknown_kind"
 
 # Offsets after which a writer that wrote nothing is forgotten. Longer than the log keeps records.
-WRITER_MEMORY_OFFSETS = 1_000_000
+WRITER_RETENTION_OFFSETS = 1_000_000
 # Decisions kept so that writers can ask for them.
 DECISIONS_KEPT = 4096
 # Bounds of what is kept of kinds that this program does not know.
@@ -142,7 +142,7 @@
     if stored.record is None:
         return None
     decision = _decide(position, appliers, folded, stored.offset, stored.record)
-    _remember(position, decision)
+    _record_decision(position, decision)
     return decision
 
 
@@ -157,7 +157,7 @@
     if reason:
         return Decision(offset, record, False, reason, overtaken_by)
     if record.kind not in appliers:
-        _keep_unknown(position.unknown, StoredRecord(offset, record))
+        _retain_unknown(position.unknown, StoredRecord(offset, record))
         return Decision(offset, record, False, REASON_UNKNOWN_KIND)
     return _apply(position, appliers, folded, offset, record)
 
@@ -200,7 +200,7 @@
     return record_id.incarnation == mark.incarnation and record_id.sequence <= mark.sequence
 
 
-def _remember(position: LogPosition, decision: Decision) -> None:
+def _record_decision(position: LogPosition, decision: Decision) -> None:
     record_id = decision.record.id
     verdict = _to_verdict(decision)
     if decision.reason in (REASON_REPEATED, REASON_FENCED):
@@ -212,19 +212,21 @@
         position.decisions[record_id] = verdict
     while len(position.decisions) > DECISIONS_KEPT:
         position.decisions.pop(next(iter(position.decisions)))
-    _forget_old_writers(position, decision.offset)
+    _evict_idle_writer(position, decision.offset)
 
 
-def _forget_old_writers(position: LogPosition, offset: int) -> None:
+def _evict_idle_writer(position: LogPosition, offset: int) -> None:
     # Writers stand in the order of their last record, so only the first can be too old.
     oldest = next(iter(position.writers), None)
     if oldest is None:
         return
-    if position.writers[oldest].offset < offset - WRITER_MEMORY_OFFSETS:
+    if position.writers[oldest].offset < offset - WRITER_RETENTION_OFFSETS:
         position.writers.pop(oldest)
 
 
-def apply_kept(position: LogPosition, appliers: Mapping[str, Applier], folded: Any) -> None:
+def apply_unknown_records(
+    position: LogPosition, appliers: Mapping[str, Applier], folded: Any
+) -> None:
     """
     Decide about the kept records of kinds that an older program did not know.
 
@@ -242,7 +244,7 @@
         if record is None:
             continue
         if record.kind not in appliers:
-            _keep_unknown(position.unknown, stored)
+            _retain_unknown(position.unknown, stored)
             continue
         decision = _apply(position, appliers, folded, stored.offset, record)
         if record.id in position.decisions:
@@ -259,7 +261,7 @@
     )
 
 
-def _keep_unknown(unknown: UnknownRecords, stored: StoredRecord) -> None:
+def _retain_unknown(unknown: UnknownRecords, stored: StoredRecord) -> None:
     size = len(msgspec.msgpack.encode(stored))
     unknown.records.append(stored)
     unknown.sizes.append(size)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness.py
@@ -22,7 +22,7 @@
 
 UNVERIFIED_RETRY_S = 2.0
 # A claim that could not be used for so long gives way to a newer one.
-CLAIM_KEPT_S = 2.0
+PEER_PROOF_KEPT_S = 2.0
 
 
 def keyed_work_allowed(state: State, team: Team) -> bool:
@@ -38,7 +38,7 @@
     return proof_age_s(state) <= state.tuning.key_freshness_s + team.grace_s
 
 
-def refuse_unverified(state: State) -> Refusal:
+def unverified_refusal(state: State) -> Refusal:
     """
     Give the refusal of a keyed request when keys can't be taken.
 
@@ -55,7 +55,7 @@
     :param state: the state.
     :returns: seconds, infinite when there never was one.
     """
-    proved_s = max(state.freshness.head_s, _in_touch_s(state))
+    proved_s = max(state.freshness.log_proof_s, _all_zones_reached_s(state))
     return float("inf") if proved_s == NEVER_S else state.now_s - proved_s
 
 
@@ -74,7 +74,7 @@
     """
     Count a read of the log up to its head as a proof.
     """
-    state.freshness.head_s = max(state.freshness.head_s, event.as_of_s)
+    state.freshness.log_proof_s = max(state.freshness.log_proof_s, event.as_of_s)
     return iter(())
 
 
@@ -82,11 +82,13 @@
     """
     Count what a peer has seen of the log as a proof, once as much is folded here.
     """
-    beat = event.message
-    if isinstance(beat, Heartbeat) and _is_current(state, event.sender):
-        _note_behind(state)
-        if beat.echo_s != NEVER_S and beat.head_age_ms >= 0:
-            _note_claim(state, beat.echo_s - beat.head_age_ms / 1000, beat.next_offset)
+    heartbeat = event.message
+    if isinstance(heartbeat, Heartbeat) and _is_current(state, event.sender):
+        _update_behind_since(state)
+        if heartbeat.echo_s != NEVER_S and heartbeat.head_age_ms >= 0:
+            _record_peer_proof(
+                state, heartbeat.echo_s - heartbeat.head_age_ms / 1000, heartbeat.next_offset
+            )
     return iter(())
 
 
@@ -94,8 +96,8 @@
     """
     Use a peer's claim when the fold has come so far.
     """
-    _note_behind(state)
-    _use_claim(state)
+    _update_behind_since(state)
+    _apply_peer_proof(state)
     return iter(())
 
 
@@ -103,8 +105,8 @@
     """
     Use a peer's claim when the fold has come so far.
     """
-    _note_behind(state)
-    _use_claim(state)
+    _update_behind_since(state)
+    _apply_peer_proof(state)
     return iter(())
 
 
@@ -113,11 +115,11 @@
     return peer is not None and peer.sender == sender
 
 
-def _in_touch_s(state: State) -> float:
+def _all_zones_reached_s(state: State) -> float:
     membership = state.membership
     if not membership.listed or not state.log.caught_up:
         return NEVER_S
-    needed = [peer for peer in membership.peers.values() if _may_have_withdrawn(peer)]
+    needed = [peer for peer in membership.peers.values() if _may_know_withdrawals(peer)]
     own_zone = state.identity.sender.zone
     others = {peer.sender.zone for peer in needed} - {own_zone}
     if others:
@@ -129,7 +131,7 @@
     return oldest_s if behind_s == NEVER_S else min(oldest_s, behind_s)
 
 
-def _may_have_withdrawn(peer: Peer) -> bool:
+def _may_know_withdrawals(peer: Peer) -> bool:
     """
     Tell whether an instance may know of a withdrawal that is not known here.
 
@@ -139,34 +141,36 @@
     return peer.state != LEAVING and (peer.listed or peer.state != DEAD)
 
 
-def _note_behind(state: State) -> None:
+def _update_behind_since(state: State) -> None:
     freshness = state.freshness
     own_next = state.fold.position.next_offset
     peers = state.membership.peers.values()
     if all(peer.next_offset <= own_next for peer in peers):
         freshness.behind_since_s = NEVER_S
-        freshness.touched_s = max(freshness.touched_s, _in_touch_s(state))
+        freshness.all_zones_reached_s = max(
+            freshness.all_zones_reached_s, _all_zones_reached_s(state)
+        )
     elif freshness.behind_since_s == NEVER_S:
         # What others have folded meanwhile may be as old as the last moment of touch.
-        freshness.behind_since_s = max(freshness.touched_s, 0.0)
+        freshness.behind_since_s = max(freshness.all_zones_reached_s, 0.0)
 
 
-def _note_claim(state: State, at_s: float, next_offset: int) -> None:
+def _record_peer_proof(state: State, at_s: float, next_offset: int) -> None:
     freshness = state.freshness
     if state.fold.position.next_offset >= next_offset:
-        freshness.head_s = max(freshness.head_s, at_s)
-    elif at_s - freshness.claimed_s > CLAIM_KEPT_S:
-        freshness.claimed_s = at_s
-        freshness.claimed_offset = next_offset
+        freshness.log_proof_s = max(freshness.log_proof_s, at_s)
+    elif at_s - freshness.peer_proof_s > PEER_PROOF_KEPT_S:
+        freshness.peer_proof_s = at_s
+        freshness.peer_proof_offset = next_offset
 
 
-def _use_claim(state: State) -> None:
+def _apply_peer_proof(state: State) -> None:
     freshness = state.freshness
-    if freshness.claimed_s == NEVER_S:
+    if freshness.peer_proof_s == NEVER_S:
         return
-    if state.fold.position.next_offset >= freshness.claimed_offset:
-        freshness.head_s = max(freshness.head_s, freshness.claimed_s)
-        freshness.claimed_s = NEVER_S
+    if state.fold.position.next_offset >= freshness.peer_proof_offset:
+        freshness.log_proof_s = max(freshness.log_proof_s, freshness.peer_proof_s)
+        freshness.peer_proof_s = NEVER_S
 
 
 HANDLERS: HandlerTable = {
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness_state.py
@@ -11,19 +11,19 @@
     """
     Proofs of freshness, and withdrawals that are not known to be in the log.
 
-    :param head_s: newest moment of which is known that all records then in the log are folded.
-    :param claimed_s: such a moment told by a peer that has folded further, or -1.
-    :param claimed_offset: offset that has to be folded for the claim to count.
-    :param touched_s: newest moment of touch with every zone at which nobody had folded further.
+    :param log_proof_s: newest moment of which is known that all records then in the log are folded.
+    :param peer_proof_s: such a moment told by a peer that has folded further, or -1.
+    :param peer_proof_offset: offset that has to be folded for the claim to count.
+    :param all_zones_reached_s: newest moment of touch with every zone at which nobody had folded further.
     :param behind_since_s: time since which a peer may have folded further, or -1.
     :param withdrawn: withdrawals that are not known to be in the log, with the time of hearing.
     :param version: count of additions to them.
     """
 
-    head_s: float = NEVER_S
-    claimed_s: float = NEVER_S
-    claimed_offset: int = 0
-    touched_s: float = NEVER_S
+    log_proof_s: float = NEVER_S
+    peer_proof_s: float = NEVER_S
+    peer_proof_offset: int = 0
+    all_zones_reached_s: float = NEVER_S
     behind_since_s: float = NEVER_S
     withdrawn: dict[str, float] = msgspec.field(default_factory=dict)
     version: int = 0
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness_withdrawals.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness_withdrawals.py
@@ -11,6 +11,7 @@
 from typing import NamedTuple
 
 from . import _membership
+from ._catch_up import reads_log
 from ._effects import Emit, WriteLog
 from ._events import PeerReceived, RecordFolded, RecordWanted, Ticked
 from ._freshness import is_withdrawn
@@ -20,15 +21,14 @@
 from ._membership_messages import Heartbeat
 from ._membership_state import ALIVE, DEAD, LEAVING, Peer
 from ._records import KEY_WITHDRAWN
-from ._relay import reads_log
 from ._state import State
 
 # Withdrawals that one message carries at most; more wait until the log holds some of them.
-MAX_TOLD = 1000
+MAX_WITHDRAWALS_PER_HEARTBEAT = 1000
 # Another instance appends a withdrawal when its first one has not in this time.
 TAKEOVER_S = 5.0
 # A withdrawal has reached all of a zone so long after it left here, when the zone is in touch.
-SPREAD_S = 1.0
+ZONE_PROPAGATION_S = 1.0
 
 
 class KeyWithdrawalAsked(NamedTuple):
@@ -43,7 +43,7 @@
     key_id: str
 
 
-def on_asked(state: State, event: KeyWithdrawalAsked) -> Iterator[object]:
+def on_withdrawal_requested(state: State, event: KeyWithdrawalAsked) -> Iterator[object]:
     """
     Withdraw the key here, tell the peers, and want it in the log.
     """
@@ -51,21 +51,21 @@
     if is_withdrawn(state, name):
         return
     yield from _add(state, name)
-    yield _want_record(name)
+    yield _request_record(name)
 
 
 def on_heartbeat(state: State, event: PeerReceived) -> Iterator[object]:
     """
     Take over what a peer tells of.
     """
-    beat = event.message
+    heartbeat = event.message
     peer = state.membership.peers.get(event.sender.instance)
-    if not isinstance(beat, Heartbeat) or peer is None or peer.sender != event.sender:
+    if not isinstance(heartbeat, Heartbeat) or peer is None or peer.sender != event.sender:
         return
-    peer.withdrawn_seen = max(peer.withdrawn_seen, beat.withdrawn_seen)
+    peer.withdrawn_seen = max(peer.withdrawn_seen, heartbeat.withdrawn_seen)
     # A peer leaves its withdrawals out only when it knows that they are here.
-    peer.withdrawn_version = max(peer.withdrawn_version, beat.withdrawn_version)
-    for name in beat.withdrawn:
+    peer.withdrawn_version = max(peer.withdrawn_version, heartbeat.withdrawn_version)
+    for name in heartbeat.withdrawn:
         if not is_withdrawn(state, name):
             yield from _add(state, name)
 
@@ -75,7 +75,7 @@
     Forget what the log now says itself.
     """
     if event.record.kind == KEY_WITHDRAWN:
-        _forget_folded(state)
+        _remove_folded(state)
     return iter(())
 
 
@@ -83,7 +83,7 @@
     """
     Forget what the log now says itself.
     """
-    _forget_folded(state)
+    _remove_folded(state)
     return iter(())
 
 
@@ -93,14 +93,14 @@
     """
     if not state.freshness.withdrawn or not reads_log(state):
         return
-    patience_s = TAKEOVER_S * (1 + _own_rank(state))
-    for name, heard_s in state.freshness.withdrawn.items():
-        if state.now_s - heard_s >= patience_s:
+    takeover_delay_s = TAKEOVER_S * (1 + _own_rank(state))
+    for name, learned_s in state.freshness.withdrawn.items():
+        if state.now_s - learned_s >= takeover_delay_s:
             state.freshness.withdrawn[name] = state.now_s
-            yield _want_record(name)
+            yield _request_record(name)
 
 
-def untold(state: State, withdrawn_seen: int) -> tuple[str, ...]:
+def unacknowledged_withdrawals(state: State, withdrawn_seen: int) -> tuple[str, ...]:
     """
     Give the withdrawals for a peer.
 
@@ -111,7 +111,7 @@
     freshness = state.freshness
     if freshness.version <= withdrawn_seen:
         return ()
-    return tuple(islice(freshness.withdrawn, MAX_TOLD))
+    return tuple(islice(freshness.withdrawn, MAX_WITHDRAWALS_PER_HEARTBEAT))
 
 
 def told_instances(state: State) -> int:
@@ -125,20 +125,20 @@
     :returns: the count.
     """
     return sum(
-        _is_told(state, peer)
+        _has_acknowledged(state, peer)
         for peer in state.membership.peers.values()
         if peer.state not in (DEAD, LEAVING)
     )
 
 
-def _is_told(state: State, peer: Peer) -> bool:
+def _has_acknowledged(state: State, peer: Peer) -> bool:
     freshness = state.freshness
     if not freshness.withdrawn or peer.withdrawn_seen >= freshness.version:
         return True
     if peer.sender.zone == state.identity.sender.zone:
         return False
     zone_s = state.membership.zones.get(peer.sender.zone, NEVER_S)
-    return zone_s - SPREAD_S >= max(freshness.withdrawn.values())
+    return zone_s - ZONE_PROPAGATION_S >= max(freshness.withdrawn.values())
 
 
 def _add(state: State, name: str) -> Iterator[object]:
@@ -146,18 +146,18 @@
     freshness.withdrawn[name] = state.now_s
     freshness.version += 1
     # Heartbeats go out with the next tick.
-    state.membership.zone_beat_s = NEVER_S
-    state.membership.relay_beat_s = NEVER_S
+    state.membership.zone_heartbeats_sent_s = NEVER_S
+    state.membership.relay_heartbeats_sent_s = NEVER_S
     yield WriteLog("key.withdrawn_ahead", {"key": name})
 
 
-def _want_record(name: str) -> Emit:
+def _request_record(name: str) -> Emit:
     workspace, _, key_id = name.partition("/")
     body = {"workspace": workspace, "key_id": key_id}
     return Emit(RecordWanted(KEY_WITHDRAWN, f"key/{name}", None, body))
 
 
-def _forget_folded(state: State) -> None:
+def _remove_folded(state: State) -> None:
     withdrawn = state.freshness.withdrawn
     for name in [name for name in withdrawn if name in state.fold.keys.withdrawn]:
         del withdrawn[name]
@@ -171,7 +171,7 @@
 
 
 HANDLERS: HandlerTable = {
-    KeyWithdrawalAsked: on_asked,
+    KeyWithdrawalAsked: on_withdrawal_requested,
     PeerReceived: on_heartbeat,
     RecordFolded: on_folded,
     FoldReplaced: on_replaced,
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins.py
@@ -30,7 +30,7 @@
     return len(state.joins.known) >= MAX_KNOWN
 
 
-def join(state: State, known: KnownRequest, event: RequestReceived) -> Iterator[object]:
+def join_duplicate(state: State, known: KnownRequest, event: RequestReceived) -> Iterator[object]:
     """
     Let a repeat wait for the first request's outcome, or give it the outcome.
 
@@ -111,7 +111,7 @@
     :returns: effects.
     """
     known = state.joins.known[req.key]
-    for token in _end(state, req, known):
+    for token in _close(state, req, known):
         yield Reply(token, attempt)
     if req.idempotent and status >= FAILED_STATUS:
         del state.joins.known[req.key]
@@ -120,10 +120,10 @@
     known.stage = ANSWERED
     known.attempt = attempt
     known.size_bytes = size_bytes
-    state.joins.kept[attempt] = req.key
+    state.joins.kept_answers[attempt] = req.key
     state.joins.kept_bytes += size_bytes
     while state.joins.kept_bytes > MAX_KEPT_BYTES:
-        yield _drop_answer(state, next(iter(state.joins.kept)))
+        yield _drop_answer(state, next(iter(state.joins.kept_answers)))
 
 
 def refuse(state: State, req: Request, refusal: Refusal) -> Iterator[object]:
@@ -136,7 +136,7 @@
     :returns: effects.
     """
     known = state.joins.known[req.key]
-    for token in _end(state, req, known):
+    for token in _close(state, req, known):
         yield Refuse(token, refusal)
     if refusal.code.run_state == _refusals.NOT_RUN:
         yield from forget(state, req)
@@ -156,7 +156,7 @@
     :param refusal: why.
     :returns: effects.
     """
-    for token in _end(state, req, state.joins.known[req.key]):
+    for token in _close(state, req, state.joins.known[req.key]):
         yield Refuse(token, refusal)
     del state.joins.known[req.key]
 
@@ -171,7 +171,7 @@
     """
     known = state.joins.known.pop(req.key)
     if known.claim:
-        yield from _joins_claims.give_up(state, req.key, known.claim)
+        yield from _joins_claims.release_claim(state, req.key, known.claim)
 
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
@@ -197,7 +197,7 @@
         state.joins.by_token[token] = req.key
 
 
-def _end(state: State, req: Request, known: KnownRequest) -> list[int]:
+def _close(state: State, req: Request, known: KnownRequest) -> list[int]:
     tokens = known.tokens
     known.tokens = []
     known.req = None
@@ -205,13 +205,13 @@
         state.joins.by_token.pop(token, None)
         state.requests.open_tokens.pop(token, None)
     # Later than the end of the claim would be too long, sooner would let the request run again.
-    known.expires_s = max(state.now_s, req.deadline_s) + _joins_claims.KEEP_S
+    known.expires_s = max(state.now_s, req.deadline_s) + _joins_claims.OUTCOME_RETENTION_S
     state.joins.ended.append(EndedRequest(req.key, known.expires_s))
     return tokens
 
 
 def _drop_answer(state: State, attempt: str) -> DropAnswer:
-    key = state.joins.kept.pop(attempt)
+    key = state.joins.kept_answers.pop(attempt)
     known = state.joins.known[key]
     state.joins.kept_bytes -= known.size_bytes
     known.attempt = ""
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_claims.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_claims.py
@@ -16,13 +16,13 @@
 from ._state import State
 
 # An outcome is kept for this time after the caller's deadline.
-KEEP_S = 60.0
+OUTCOME_RETENTION_S = 60.0
 RESEND_S = 0.2
 HELD_RETRY_S = 1.0
 UNRESOLVED_RETRY_S = 2.0
 
 
-def begin(state: State, req: Request) -> Iterator[object]:
+def request_claim(state: State, req: Request) -> Iterator[object]:
     """
     Ask the voters of a request's id for the right to run it.
 
@@ -33,14 +33,14 @@
     joins = state.joins
     number = joins.next_number
     joins.next_number += 1
-    give_up_s = state.now_s + _joins_voters.GIVE_UP_S
+    give_up_s = state.now_s + _joins_voters.CLAIM_TIMEOUT_S
     pending = PendingClaim(req.key, number, req, set(), set(), give_up_s, state.now_s + RESEND_S)
     joins.pending[number] = pending
     joins.known[req.key].claim = number
-    yield from _ask(state, pending)
+    yield from _request_votes(state, pending)
 
 
-def give_up(state: State, key: int, number: int) -> Iterator[object]:
+def release_claim(state: State, key: int, number: int) -> Iterator[object]:
     """
     Release a claim under which nothing ran.
 
@@ -65,7 +65,7 @@
     pending = state.joins.pending.get(event.message.number)
     if pending is None:
         return
-    yield from _count(state, pending, event.sender.instance, event.message)
+    yield from _count_vote(state, pending, event.sender.instance, event.message)
 
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
@@ -75,20 +75,20 @@
     for pending in list(state.joins.pending.values()):
         if pending.give_up_s <= state.now_s:
             refusal = Refusal(_refusals.UNRESOLVED, UNRESOLVED_RETRY_S)
-            yield from _lose(state, pending, refusal)
+            yield from _fail_claim(state, pending, refusal)
         elif pending.resend_s <= state.now_s:
             pending.resend_s = state.now_s + RESEND_S
-            yield from _ask(state, pending)
+            yield from _request_votes(state, pending)
 
 
-def _ask(state: State, pending: PendingClaim) -> Iterator[object]:
+def _request_votes(state: State, pending: PendingClaim) -> Iterator[object]:
     req = pending.req
-    keep_s = max(0.0, req.deadline_s - state.now_s) + KEEP_S
+    keep_s = max(0.0, req.deadline_s - state.now_s) + OUTCOME_RETENTION_S
     wanted = ClaimWanted(pending.key, pending.number, req.body_hash, keep_s)
     own = state.identity.sender
-    if state.joins.whole and own.instance in _joins_voters.all_voters(state.joins, pending.key):
+    if state.joins.complete and own.instance in _joins_voters.all_voters(state.joins, pending.key):
         own_vote = _joins_votes.vote(state, own, wanted)
-        yield from _count(state, pending, own.instance, own_vote)
+        yield from _count_vote(state, pending, own.instance, own_vote)
     if pending.number not in state.joins.pending:
         return
     for instance in _other_voters(state, pending.key):
@@ -96,21 +96,23 @@
             yield SendPeer(state.joins.addresses[instance], wanted)
 
 
-def _count(state: State, pending: PendingClaim, voter: str, voted: ClaimVoted) -> Iterator[object]:
+def _count_vote(
+    state: State, pending: PendingClaim, voter: str, voted: ClaimVoted
+) -> Iterator[object]:
     # After a pause of this process a late majority may rest on votes that were lost since.
     if pending.give_up_s <= state.now_s:
         return
     (pending.granted if voted.granted else pending.denied).add(voter)
     left = _joins_voters.all_voters(state.joins, pending.key) - pending.denied
     if not _joins_voters.has_majority(state.joins, pending.key, left):
-        yield from _lose(state, pending, _refuse_held(voted))
+        yield from _fail_claim(state, pending, _refuse_held(voted))
     elif _joins_voters.has_majority(state.joins, pending.key, pending.granted):
         del state.joins.pending[pending.number]
         yield Emit(RequestClaimed(pending.req))
 
 
-def _lose(state: State, pending: PendingClaim, refusal: Refusal) -> Iterator[object]:
-    yield from give_up(state, pending.key, pending.number)
+def _fail_claim(state: State, pending: PendingClaim, refusal: Refusal) -> Iterator[object]:
+    yield from release_claim(state, pending.key, pending.number)
     yield Emit(ClaimLost(pending.req, refusal))
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_messages.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_messages.py
@@ -65,7 +65,7 @@
     from_key: int
 
 
-class ClaimCopy(NamedTuple):
+class ClaimSnapshot(NamedTuple):
     """
     A claim as told to another instance.
 
@@ -74,7 +74,7 @@
     :param incarnation: incarnation of the holder.
     :param number: the holder's number of the claim.
     :param body_hash: hash of the request's body.
-    :param left_s: seconds for which the claim is still to be kept.
+    :param remaining_s: seconds for which the claim is still to be kept.
     """
 
     key: int
@@ -82,7 +82,7 @@
     incarnation: int
     number: int
     body_hash: int
-    left_s: float
+    remaining_s: float
 
 
 @register_message
@@ -92,14 +92,14 @@
 
     :param from_key: lowest key that was wanted.
     :param next_key: lowest key of the next part, or ``None`` when there is none.
-    :param whole: whether the sender's own memory is whole.
-    :param cold: whether it became whole because all voters, the receiver's incarnation among
+    :param complete: whether the sender's own memory is whole.
+    :param cold_start: whether it became whole because all voters, the receiver's incarnation among
         them, were starting together.
     :param claims: the claims.
     """
 
     from_key: int
     next_key: int | None
-    whole: bool
-    cold: bool
-    claims: tuple[ClaimCopy, ...]
+    complete: bool
+    cold_start: bool
+    claims: tuple[ClaimSnapshot, ...]
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_state.py
@@ -125,7 +125,7 @@
     :param known: request ids that this instance has taken.
     :param by_token: key of the request that each open exchange waits for.
     :param ended: those whose outcome is known, in the order of their end.
-    :param kept: attempts whose answers are kept, oldest first.
+    :param kept_answers: attempts whose answers are kept, oldest first.
     :param kept_bytes: length of all kept answers.
     :param claims: claims in which this instance voted.
     :param holders: holders of claims, by id and incarnation.
@@ -141,15 +141,15 @@
     :param next_keys: first key that each instance is to be asked for next.
     :param recovered: instances with whole memories that told all their claims.
     :param starting: incarnations of instances that were recovering themselves, by id.
-    :param is_cold: whether this instance became whole because all others were starting too.
-    :param whole: whether this instance knows each claim that it may have voted for.
+    :param is_cold_start: whether this instance became whole because all others were starting too.
+    :param complete: whether this instance knows each claim that it may have voted for.
     :param swept_s: time at which expired entries were last removed.
     """
 
     known: dict[int, KnownRequest] = msgspec.field(default_factory=dict)
     by_token: dict[int, int] = msgspec.field(default_factory=dict)
     ended: deque[EndedRequest] = msgspec.field(default_factory=deque)
-    kept: OrderedDict[str, int] = msgspec.field(default_factory=OrderedDict)
+    kept_answers: OrderedDict[str, int] = msgspec.field(default_factory=OrderedDict)
     kept_bytes: int = 0
     claims: dict[int, Claim] = msgspec.field(default_factory=dict)
     holders: dict[str, dict[int, Holder]] = msgspec.field(default_factory=dict)
@@ -165,6 +165,6 @@
     next_keys: dict[str, int] = msgspec.field(default_factory=dict)
     recovered: set[str] = msgspec.field(default_factory=set)
     starting: dict[str, int] = msgspec.field(default_factory=dict)
-    is_cold: bool = False
-    whole: bool = False
+    is_cold_start: bool = False
+    complete: bool = False
     swept_s: float = 0.0
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_voters.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_voters.py
@@ -17,11 +17,11 @@
 
 VOTERS = 3
 # An instance that is restarted under the same id stays a voter while the list leaves it out.
-UNLISTED_KEEP_S = 30.0
+UNLISTED_RETENTION_S = 30.0
 # Claims are never kept for longer than this time.
-MAX_KEEP_S = 300.0
+MAX_CLAIM_S = 300.0
 # A claim that has no majority after this time is given up.
-GIVE_UP_S = 1.0
+CLAIM_TIMEOUT_S = 1.0
 # Longer than a claim stays undecided, so that recovery sees all claims with an old vote.
 RECOVERY_WAIT_S = 1.2
 # An id such as ``a.4711`` has its voters in zone ``a``.
@@ -40,7 +40,7 @@
     digest = xxhash.xxh3_64_intdigest(f"{team} {request_id}".encode()) >> 1
     if not separator:
         return digest
-    return (digest & ~0xFF) | _zone_mark(zone)
+    return (digest & ~0xFF) | _zone_byte(zone)
 
 
 def voters(roster: Roster, key: int) -> tuple[str, ...]:
@@ -52,7 +52,7 @@
     :returns: ids of up to `VOTERS` instances.
     """
     zones = sorted({zone for _, zone in roster.members})
-    marked = [zone for zone in zones if _zone_mark(zone) == key & 0xFF]
+    marked = [zone for zone in zones if _zone_byte(zone) == key & 0xFF]
     home = marked[0] if marked else max(zones, key=lambda zone: _weight(key, zone))
 
     def order(member: tuple[str, str]) -> tuple[bool, int]:
@@ -120,7 +120,7 @@
     own = state.identity.sender
     zones[own.instance] = own.zone
     joins.listed_s[own.instance] = state.now_s
-    kept_since_s = state.now_s - UNLISTED_KEEP_S
+    kept_since_s = state.now_s - UNLISTED_RETENTION_S
     members = tuple(sorted(m for m in zones.items() if joins.listed_s[m[0]] >= kept_since_s))
     _replace_roster(state, members)
 
@@ -130,15 +130,15 @@
     if not joins.rosters:
         joins.first_roster = members
         joins.recovery_starts_s = state.now_s + RECOVERY_WAIT_S
-        joins.recovery_ends_s = state.now_s + MAX_KEEP_S
+        joins.recovery_ends_s = state.now_s + MAX_CLAIM_S
     if joins.rosters and joins.rosters[-1].members == members:
         return
-    until_s = state.now_s + MAX_KEEP_S
+    until_s = state.now_s + MAX_CLAIM_S
     old = [roster._replace(until_s=min(roster.until_s, until_s)) for roster in joins.rosters]
     joins.rosters = [*old, Roster(members, float("inf"))]
 
 
-def forget_rosters(state: State) -> None:
+def drop_expired_rosters(state: State) -> None:
     """
     Forget rosters under which no claim is in force any more.
 
@@ -148,7 +148,7 @@
     joins.rosters = [roster for roster in joins.rosters if roster.until_s > state.now_s]
 
 
-def _zone_mark(zone: str) -> int:
+def _zone_byte(zone: str) -> int:
     return xxhash.xxh32_intdigest(zone.encode()) & 0xFF
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_votes.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_votes.py
@@ -15,8 +15,8 @@
 from ._handlers import HandlerTable
 from ._ids import Sender
 from ._joins_messages import (
-    ClaimCopy,
     ClaimReleased,
+    ClaimSnapshot,
     ClaimsTold,
     ClaimsWanted,
     ClaimVoted,
@@ -35,7 +35,7 @@
     Take over who may vote.
     """
     _joins_voters.update_rosters(state, event.instances)
-    yield from _check_whole(state)
+    yield from _check_recovered(state)
 
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
@@ -43,12 +43,12 @@
     Go on with the recovery, and forget what has expired.
     """
     joins = state.joins
-    yield from _check_whole(state)
-    if not joins.whole and joins.recovery_starts_s <= state.now_s and joins.rosters:
-        yield from _ask_for_claims(state)
+    yield from _check_recovered(state)
+    if not joins.complete and joins.recovery_starts_s <= state.now_s and joins.rosters:
+        yield from _request_claims(state)
     if state.now_s - joins.swept_s >= SWEEP_INTERVAL_S:
         joins.swept_s = state.now_s
-        _joins_voters.forget_rosters(state)
+        _joins_voters.drop_expired_rosters(state)
         for key in [k for k, claim in joins.claims.items() if claim.expires_s <= state.now_s]:
             del joins.claims[key]
         joins.holders = {}
@@ -60,14 +60,14 @@
     """
     message = event.message
     address = state.joins.addresses.get(event.sender.instance, "")
-    if isinstance(message, ClaimWanted) and state.joins.whole and address:
+    if isinstance(message, ClaimWanted) and state.joins.complete and address:
         yield SendPeer(address, vote(state, event.sender, message))
     elif isinstance(message, ClaimReleased):
         release(state.joins, event.sender, message)
     elif isinstance(message, ClaimsWanted) and address:
-        yield SendPeer(address, _tell_claims(state, event.sender, message.from_key))
+        yield SendPeer(address, _build_claims_reply(state, event.sender, message.from_key))
     elif isinstance(message, ClaimsTold):
-        yield from _take_claims(state, event.sender, message)
+        yield from _merge_claims(state, event.sender, message)
 
 
 def vote(state: State, sender: Sender, wanted: ClaimWanted) -> ClaimVoted:
@@ -80,12 +80,12 @@
     :returns: the vote.
     """
     claims = state.joins.claims
-    holder = _share_holder(state.joins, Holder(sender.instance, sender.incarnation))
+    holder = _intern_holder(state.joins, Holder(sender.instance, sender.incarnation))
     current = claims.get(wanted.key)
     if current is not None and current.expires_s > state.now_s and current.holder != holder:
         conflict = current.body_hash != wanted.body_hash
         return ClaimVoted(wanted.number, False, current.holder.instance, conflict)
-    expires_s = state.now_s + min(wanted.keep_s, _joins_voters.MAX_KEEP_S)
+    expires_s = state.now_s + min(wanted.keep_s, _joins_voters.MAX_CLAIM_S)
     claims[wanted.key] = Claim(holder, wanted.number, wanted.body_hash, expires_s)
     return ClaimVoted(wanted.number, True)
 
@@ -105,25 +105,25 @@
         del joins.claims[released.key]
 
 
-def _share_holder(joins: JoinState, holder: Holder) -> Holder:
+def _intern_holder(joins: JoinState, holder: Holder) -> Holder:
     # One object for all claims of a holder saves memory.
     return joins.holders.setdefault(holder.instance, {}).setdefault(holder.incarnation, holder)
 
 
-def _check_whole(state: State) -> Iterator[object]:
+def _check_recovered(state: State) -> Iterator[object]:
     joins = state.joins
-    if joins.whole or not joins.rosters:
+    if joins.complete or not joins.rosters:
         return
     others = _joins_voters.co_voters(joins, state.identity.sender.instance)
     # When all others are starting too, there is no memory left that could be waited for.
-    is_cold = others <= joins.starting.keys() and not joins.recovered & others
-    if is_cold or others <= joins.recovered or joins.recovery_ends_s <= state.now_s:
-        joins.whole = True
-        joins.is_cold = is_cold
+    is_cold_start = others <= joins.starting.keys() and not joins.recovered & others
+    if is_cold_start or others <= joins.recovered or joins.recovery_ends_s <= state.now_s:
+        joins.complete = True
+        joins.is_cold_start = is_cold_start
         yield WriteLog("claims.recovered", {"claims": len(joins.claims)})
 
 
-def _ask_for_claims(state: State) -> Iterator[object]:
+def _request_claims(state: State) -> Iterator[object]:
     joins = state.joins
     if state.now_s - joins.recovery_asked_s < RECOVERY_INTERVAL_S:
         return
@@ -135,42 +135,48 @@
             yield SendPeer(joins.addresses[instance], ClaimsWanted(from_key))
 
 
-def _tell_claims(state: State, asker: Sender, from_key: int) -> ClaimsTold:
+def _build_claims_reply(state: State, asker: Sender, from_key: int) -> ClaimsTold:
     claims = state.joins.claims
     keys = sorted(claims)
     start = bisect_left(keys, from_key)
     end = start + CLAIMS_PER_MESSAGE
     copies = tuple(
-        ClaimCopy(key, *claim.holder, claim.number, claim.body_hash, claim.expires_s - state.now_s)
+        ClaimSnapshot(
+            key, *claim.holder, claim.number, claim.body_hash, claim.expires_s - state.now_s
+        )
         for key, claim in ((key, claims[key]) for key in keys[start:end])
     )
     next_key = keys[end] if end < len(keys) else None
     joins = state.joins
-    cold = joins.is_cold and joins.starting.get(asker.instance) == asker.incarnation
-    return ClaimsTold(from_key, next_key, joins.whole, cold, copies)
+    cold_start = joins.is_cold_start and joins.starting.get(asker.instance) == asker.incarnation
+    return ClaimsTold(from_key, next_key, joins.complete, cold_start, copies)
 
 
-def _take_claims(state: State, sender: Sender, told: ClaimsTold) -> Iterator[object]:
+def _merge_claims(state: State, sender: Sender, told: ClaimsTold) -> Iterator[object]:
     joins = state.joins
     address = joins.addresses.get(sender.instance)
     # Whoever is not listed yet is asked again once it is.
-    if joins.whole or address is None or told.from_key != joins.next_keys.get(sender.instance, 0):
+    if (
+        joins.complete
+        or address is None
+        or told.from_key != joins.next_keys.get(sender.instance, 0)
+    ):
         return
     for copy in told.claims:
-        if copy.left_s > 0 and copy.key not in joins.claims:
-            holder = _share_holder(joins, Holder(copy.instance, copy.incarnation))
-            expires_s = state.now_s + copy.left_s
+        if copy.remaining_s > 0 and copy.key not in joins.claims:
+            holder = _intern_holder(joins, Holder(copy.instance, copy.incarnation))
+            expires_s = state.now_s + copy.remaining_s
             joins.claims[copy.key] = Claim(holder, copy.number, copy.body_hash, expires_s)
     if told.next_key is not None:
         joins.next_keys[sender.instance] = told.next_key
         yield SendPeer(address, ClaimsWanted(told.next_key))
         return
     joins.next_keys[sender.instance] = 0
-    if told.whole and not told.cold:
+    if told.complete and not told.cold_start:
         joins.recovered.add(sender.instance)
     else:
         joins.starting[sender.instance] = sender.incarnation
-    yield from _check_whole(state)
+    yield from _check_recovered(state)
 
 
 HANDLERS: HandlerTable = {InstancesListed: on_listed, Ticked: on_tick, PeerReceived: on_peer}
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_log_follower.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_log_follower.py
@@ -122,7 +122,7 @@
     decision = fold_record(state.fold.position, APPLIERS, state.fold, stored)
     _add_to_tail(state.tail, stored)
     if decision is not None:
-        yield Emit(_folded(decision))
+        yield Emit(_build_folded_event(decision))
 
 
 def _read(state: State, delay_s: float = 0.0) -> ReadLog:
@@ -139,7 +139,7 @@
         tail.total_bytes -= tail.records.popleft().size_bytes
 
 
-def _folded(decision: Decision) -> RecordFolded:
+def _build_folded_event(decision: Decision) -> RecordFolded:
     return RecordFolded(decision.offset, decision.record, decision.accepted, decision.reason)
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_log_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_log_state.py
@@ -113,7 +113,7 @@
 
     :param lanes: lanes in the order of their priority.
     :param sending: lane whose answer is awaited, or empty.
-    :param room_records: records that may be appended now.
+    :param quota_records: records that may be appended now.
     :param refilled_s: time at which the room was last worked out.
     :param not_before_s: time before which nothing is appended, after a failure.
     :param failures: failures in a row.
@@ -125,7 +125,7 @@
         default_factory=lambda: {URGENT: OutboxLane(), NORMAL: OutboxLane()}
     )
     sending: str = ""
-    room_records: float = 0.0
+    quota_records: float = 0.0
     refilled_s: float = NEVER_S
     not_before_s: float = NEVER_S
     failures: int = 0
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership.py
@@ -32,10 +32,10 @@
 DEAD_AFTER_S = 6.0
 # Silent, unlisted instances are forgotten after this time.
 FORGET_AFTER_S = 30.0
-ZONE_IN_TOUCH_S = 5.0
+ZONE_REACHABLE_S = 5.0
 # Both zones of a pair choose relays, so every pair has twice as many paths.
 RELAYS_PER_ZONE_PAIR = 2
-PAUSE_GAP_S = 1.0
+PAUSE_THRESHOLD_S = 1.0
 
 
 def members(state: State) -> tuple[Member, ...]:
@@ -69,7 +69,7 @@
     :param state: the state.
     :returns: names of zones.
     """
-    since_s = state.now_s - ZONE_IN_TOUCH_S
+    since_s = state.now_s - ZONE_REACHABLE_S
     heard = {zone for zone, at_s in state.membership.zones.items() if at_s >= since_s}
     return frozenset(heard | {state.identity.sender.zone})
 
@@ -159,10 +159,10 @@
     entries = {item.id: item for item in listed if item.role == "entry" and item.peer_address}
     entries.pop(own.instance, None)
     for item in entries.values():
-        _take_listed(membership, item, now_s)
+        _add_listed(membership, item, now_s)
     for instance, peer in list(membership.peers.items()):
         peer.listed = instance in entries
-        if not peer.listed and now_s - max(peer.heard_s, peer.known_s) > FORGET_AFTER_S:
+        if not peer.listed and now_s - max(peer.last_seen_s, peer.known_s) > FORGET_AFTER_S:
             del membership.peers[instance]
 
 
@@ -175,7 +175,7 @@
     """
     changed = []
     for peer in state.membership.peers.values():
-        liveness = _judge(state, peer)
+        liveness = _assess_liveness(state, peer)
         if liveness != peer.state:
             peer.state = liveness
             peer.changed_s = state.now_s
@@ -193,34 +193,34 @@
     return rank(f"relay/{zone}", candidates)[:RELAYS_PER_ZONE_PAIR]
 
 
-def _judge(state: State, peer: Peer) -> str:
+def _assess_liveness(state: State, peer: Peer) -> str:
     if peer.sender.zone != state.identity.sender.zone:
-        return _judge_remote(state, peer)
-    if peer.heard_s == NEVER_S:
+        return _assess_remote_liveness(state, peer)
+    if peer.last_seen_s == NEVER_S:
         return DEAD if state.now_s - peer.known_s > DEAD_AFTER_S else UNKNOWN
-    silent_s = state.now_s - peer.heard_s
+    silent_s = state.now_s - peer.last_seen_s
     if peer.state == LEAVING:
         return DEAD if silent_s > DEAD_AFTER_S else LEAVING
     if silent_s <= SUSPECT_AFTER_S:
         return ALIVE
     if peer.state == DEAD:
         return DEAD
-    if silent_s <= DEAD_AFTER_S or _is_heard_by_others(state, peer):
+    if silent_s <= DEAD_AFTER_S or _is_seen_by_others(state, peer):
         return SUSPECT
     return DEAD
 
 
-def _judge_remote(state: State, peer: Peer) -> str:
+def _assess_remote_liveness(state: State, peer: Peer) -> str:
     # Only its own zone can tell that a remote instance is dead; a silent zone proves nothing.
     if peer.state in (DEAD, LEAVING):
         return peer.state
     zone_s = state.membership.zones.get(peer.sender.zone, NEVER_S)
     if zone_s == NEVER_S:
         return UNKNOWN
-    return SUSPECT if state.now_s - zone_s > ZONE_IN_TOUCH_S else ALIVE
+    return SUSPECT if state.now_s - zone_s > ZONE_REACHABLE_S else ALIVE
 
 
-def _is_heard_by_others(state: State, suspect: Peer) -> bool:
+def _is_seen_by_others(state: State, suspect: Peer) -> bool:
     return any(
         peer.sender.zone == suspect.sender.zone
         and peer.state == ALIVE
@@ -230,7 +230,7 @@
     )
 
 
-def _take_listed(membership: MembershipState, item: ListedInstance, now_s: float) -> None:
+def _add_listed(membership: MembershipState, item: ListedInstance, now_s: float) -> None:
     sender = Sender(item.id, item.incarnation, item.zone)
     peer = membership.peers.get(item.id)
     if peer is None or item.incarnation > peer.sender.incarnation:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_aggregates.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_aggregates.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from ._membership_messages import OriginNumbers
+from ._membership_messages import OriginValues
 from ._membership_state import AggregateState, Feed, FeedEntry, FeedKey, Peer
 
 if TYPE_CHECKING:
@@ -21,13 +21,13 @@
 Provider = Callable[[Any], Mapping[str, int]]
 
 # Numbers that an instance sends to all instances of its zone together.
-ZONE_NUMBERS_PER_S = 300
+ZONE_VALUES_PER_S = 300
 # Numbers that a relay sends to all other zones together.
-RELAY_NUMBERS_PER_S = 150
+RELAY_VALUES_PER_S = 150
 # Numbers that have changed by less than this share are not sent again.
-CHANGE_SHARE = 0.1
+MIN_CHANGE_RATIO = 0.1
 # A peer is sent everything again after this time, since messages can be lost.
-REFRESH_S = 30.0
+FULL_RESEND_INTERVAL_S = 30.0
 # Numbers of an origin that was not heard for this time no longer count.
 VALID_S = 10.0
 
@@ -59,7 +59,7 @@
     return sum(
         numbers.get(key, 0)
         for origin, numbers in aggregates.numbers.items()
-        if aggregates.heard_s[origin] >= valid_since_s
+        if aggregates.last_seen_s[origin] >= valid_since_s
     )
 
 
@@ -75,7 +75,7 @@
     return _sum_zone(state, hash_name(aggregate, name))
 
 
-def zone_numbers(state: "State", aggregate: str, name: str) -> dict[str, int]:
+def zone_values(state: "State", aggregate: str, name: str) -> dict[str, int]:
     """
     Give one number of each instance of the own zone, as last told.
 
@@ -90,11 +90,11 @@
     return {
         origin: numbers.get(key, 0)
         for origin, numbers in aggregates.numbers.items()
-        if _is_own_zone(state, origin) and aggregates.heard_s[origin] >= valid_since_s
+        if _is_own_zone(state, origin) and aggregates.last_seen_s[origin] >= valid_since_s
     }
 
 
-def origin_number(state: "State", origin: str, aggregate: str, name: str) -> int:
+def origin_value(state: "State", origin: str, aggregate: str, name: str) -> int:
     """
     Give one number of one instance of the own zone, or the sum of another zone, as last told.
 
@@ -105,7 +105,7 @@
     :returns: the number, 0 when it is not known.
     """
     aggregates = state.membership.aggregates
-    if aggregates.heard_s.get(origin, 0.0) < state.now_s - VALID_S:
+    if aggregates.last_seen_s.get(origin, 0.0) < state.now_s - VALID_S:
         return 0
     return aggregates.numbers.get(origin, {}).get(hash_name(aggregate, name), 0)
 
@@ -121,7 +121,7 @@
     return xxhash.xxh32_intdigest(f"{aggregate}/{name}".encode())
 
 
-def collect_own(state: "State") -> None:
+def refresh_local_values(state: "State") -> None:
     """
     Ask the providers for this instance's numbers.
 
@@ -135,12 +135,14 @@
     }
     known = state.membership.aggregates.numbers.get(origin, {})
     gone = {key: 0 for key in known if key not in numbers}
-    _take(state, origin, {**numbers, **gone})
+    _merge_values(state, origin, {**numbers, **gone})
     for key in {**numbers, **gone}:
-        _put(state.membership.aggregates.zone_feed, FeedKey(origin, key), numbers.get(key, 0))
+        _update_feed(
+            state.membership.aggregates.zone_feed, FeedKey(origin, key), numbers.get(key, 0)
+        )
 
 
-def take_numbers(state: "State", from_zone: str, received: tuple[OriginNumbers, ...]) -> None:
+def merge_received(state: "State", from_zone: str, received: tuple[OriginValues, ...]) -> None:
     """
     Take over what a peer has told.
 
@@ -149,14 +151,14 @@
     :param received: its changed numbers.
     """
     for item in received:
-        _take(state, item.origin, item.numbers)
+        _merge_values(state, item.origin, item.numbers)
         if from_zone == state.identity.sender.zone:
             continue
         for key, value in item.numbers.items():
-            _put(state.membership.aggregates.zone_feed, FeedKey(item.origin, key), value)
+            _update_feed(state.membership.aggregates.zone_feed, FeedKey(item.origin, key), value)
 
 
-def mark_heard(aggregates: AggregateState, origin: str, now_s: float) -> None:
+def mark_origin_seen(aggregates: AggregateState, origin: str, now_s: float) -> None:
     """
     Remember that an origin is in touch, though its numbers may not have changed.
 
@@ -165,10 +167,12 @@
     :param now_s: time.
     """
     if origin in aggregates.numbers:
-        aggregates.heard_s[origin] = now_s
+        aggregates.last_seen_s[origin] = now_s
 
 
-def next_numbers(feed: Feed, peer: Peer, limit: int, now_s: float) -> tuple[OriginNumbers, ...]:
+def select_feed_values(
+    feed: Feed, peer: Peer, limit: int, now_s: float
+) -> tuple[OriginValues, ...]:
     """
     Choose the numbers that a peer is sent next.
 
@@ -178,7 +182,7 @@
     :param now_s: time.
     :returns: the numbers, by origin.
     """
-    if peer.feed_sent >= feed.sequence and now_s - peer.feed_reset_s >= REFRESH_S:
+    if peer.feed_sent >= feed.sequence and now_s - peer.feed_reset_s >= FULL_RESEND_INTERVAL_S:
         peer.feed_sent = 0
         peer.feed_reset_s = now_s
     unsent = []
@@ -190,13 +194,13 @@
     for key, entry in islice(reversed(unsent), limit):
         by_origin.setdefault(key.origin, {})[key.key] = entry.value
         peer.feed_sent = entry.sequence
-    return tuple(OriginNumbers(origin, numbers) for origin, numbers in by_origin.items())
+    return tuple(OriginValues(origin, numbers) for origin, numbers in by_origin.items())
 
 
-def _take(state: "State", origin: str, received: Mapping[int, int]) -> None:
+def _merge_values(state: "State", origin: str, received: Mapping[int, int]) -> None:
     aggregates = state.membership.aggregates
     numbers = aggregates.numbers.setdefault(origin, {})
-    aggregates.heard_s[origin] = state.now_s
+    aggregates.last_seen_s[origin] = state.now_s
     for key, value in received.items():
         if value:
             numbers[key] = value
@@ -205,7 +209,7 @@
     if _is_own_zone(state, origin):
         for key in received:
             total = _sum_zone(state, key)
-            _put(aggregates.relay_feed, FeedKey(state.identity.sender.zone, key), total)
+            _update_feed(aggregates.relay_feed, FeedKey(state.identity.sender.zone, key), total)
 
 
 def _sum_zone(state: "State", key: int) -> int:
@@ -214,7 +218,7 @@
     return sum(
         numbers.get(key, 0)
         for origin, numbers in aggregates.numbers.items()
-        if _is_own_zone(state, origin) and aggregates.heard_s[origin] >= valid_since_s
+        if _is_own_zone(state, origin) and aggregates.last_seen_s[origin] >= valid_since_s
     )
 
 
@@ -224,9 +228,9 @@
     return origin == own.instance or (peer is not None and peer.sender.zone == own.zone)
 
 
-def _put(feed: Feed, key: FeedKey, value: int) -> None:
+def _update_feed(feed: Feed, key: FeedKey, value: int) -> None:
     current = feed.entries.get(key)
-    if current is not None and _is_near(current.value, value):
+    if current is not None and _is_insignificant_change(current.value, value):
         return
     if current is None and not value:
         return
@@ -235,7 +239,7 @@
     feed.entries[key] = FeedEntry(feed.sequence, value)
 
 
-def _is_near(sent: int, value: int) -> bool:
+def _is_insignificant_change(sent: int, value: int) -> bool:
     if not sent or not value:
         return sent == value
-    return abs(value - sent) <= CHANGE_SHARE * sent
+    return abs(value - sent) <= MIN_CHANGE_RATIO * sent
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_beats.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_handlers.py
@@ -9,15 +9,15 @@
 from ._events import InstancesListed, PeerReceived, StopRequested, Ticked
 from ._handlers import HandlerTable
 from ._ids import Sender
-from ._membership_heartbeat import RELAY_BEAT_S, ZONE_BEAT_S
+from ._membership_heartbeat import RELAY_HEARTBEAT_INTERVAL_S, ZONE_HEARTBEAT_INTERVAL_S
 from ._membership_messages import Heartbeat, MemberView, Superseded
 from ._membership_state import ALIVE, DEAD, LEAVING, NEVER_S, Peer
 from ._state import State
 
 # Heartbeats to instances that count as dead go out at this interval.
-DEAD_BEAT_S = 5.0
+DEAD_PEER_HEARTBEAT_INTERVAL_S = 5.0
 # A relay that hears nothing from another zone turns to its next instance after this time.
-RETARGET_S = 2.0
+TARGET_SILENCE_TIMEOUT_S = 2.0
 
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
@@ -25,16 +25,16 @@
     Notice a pause, judge the liveness of others, and send the heartbeats that are due.
     """
     membership = state.membership
-    yield from _check_pause(state)
+    yield from _detect_pause(state)
     membership.tick_s = state.now_s
-    if state.now_s - membership.zone_beat_s >= ZONE_BEAT_S:
-        membership.zone_beat_s = state.now_s
-        yield from _judge_others(state)
-        _membership_aggregates.collect_own(state)
-        yield from _beat_zone(state)
-    if state.now_s - membership.relay_beat_s >= RELAY_BEAT_S:
-        membership.relay_beat_s = state.now_s
-        yield from _beat_other_zones(state)
+    if state.now_s - membership.zone_heartbeats_sent_s >= ZONE_HEARTBEAT_INTERVAL_S:
+        membership.zone_heartbeats_sent_s = state.now_s
+        yield from _update_liveness(state)
+        _membership_aggregates.refresh_local_values(state)
+        yield from _send_zone_heartbeats(state)
+    if state.now_s - membership.relay_heartbeats_sent_s >= RELAY_HEARTBEAT_INTERVAL_S:
+        membership.relay_heartbeats_sent_s = state.now_s
+        yield from _send_relay_heartbeats(state)
 
 
 def on_listed(state: State, event: InstancesListed) -> Iterator[object]:
@@ -52,14 +52,14 @@
     Take a heartbeat, or learn that this incarnation was replaced.
     """
     if isinstance(event.message, Superseded):
-        yield from _take_superseded(state, event.message.incarnation)
+        yield from _handle_superseded(state, event.message.incarnation)
     elif isinstance(event.message, Heartbeat):
-        yield from _take_heartbeat(state, event.sender, event.message)
+        yield from _handle_heartbeat(state, event.sender, event.message)
 
 
-def _check_pause(state: State) -> Iterator[object]:
+def _detect_pause(state: State) -> Iterator[object]:
     gap_s = _membership.pause_s(state)
-    if gap_s <= _membership.PAUSE_GAP_S:
+    if gap_s <= _membership.PAUSE_THRESHOLD_S:
         return
     membership = state.membership
     membership.last_gap_s = gap_s
@@ -67,29 +67,29 @@
     membership.pauses += 1
     # Silence during the own pause is no sign that others are dead.
     for peer in membership.peers.values():
-        if peer.heard_s != NEVER_S:
-            peer.heard_s = max(peer.heard_s, state.now_s - _membership.SUSPECT_AFTER_S)
+        if peer.last_seen_s != NEVER_S:
+            peer.last_seen_s = max(peer.last_seen_s, state.now_s - _membership.SUSPECT_AFTER_S)
     yield WriteLog("process.paused", {"gap_s": gap_s})
 
 
-def _judge_others(state: State) -> Iterator[object]:
+def _update_liveness(state: State) -> Iterator[object]:
     for member in _membership.update_liveness(state):
         fields = {"instance": member.sender.instance, "state": member.state}
         yield WriteLog("member.changed", fields)
 
 
-def _beat_zone(state: State) -> Iterator[object]:
+def _send_zone_heartbeats(state: State) -> Iterator[object]:
     zone = state.identity.sender.zone
     state.membership.zone_receivers = len(_membership.zone_peers(state))
     for peer in state.membership.peers.values():
         if peer.sender.zone != zone:
             continue
-        if peer.state == DEAD and state.now_s - peer.sent_s < DEAD_BEAT_S:
+        if peer.state == DEAD and state.now_s - peer.sent_s < DEAD_PEER_HEARTBEAT_INTERVAL_S:
             continue
-        yield SendPeer(peer.peer_address, _membership_heartbeat.make_heartbeat(state, peer))
+        yield SendPeer(peer.peer_address, _membership_heartbeat.build_heartbeat(state, peer))
 
 
-def _beat_other_zones(state: State) -> Iterator[object]:
+def _send_relay_heartbeats(state: State) -> Iterator[object]:
     zones = _membership.relayed_zones(state)
     # Every pair of zones has a path from each side, and both carry numbers.
     state.membership.relay_receivers = 2 * len(zones)
@@ -98,7 +98,7 @@
         if peer is not None:
             yield SendPeer(
                 peer.peer_address,
-                _membership_heartbeat.make_heartbeat(state, peer, wants_answer=True),
+                _membership_heartbeat.build_heartbeat(state, peer, wants_answer=True),
             )
 
 
@@ -109,12 +109,12 @@
     if not usable:
         return None
     ranked = _membership.rank(f"target/{state.identity.sender.zone}", usable)
-    last_s = max(max(p.heard_s, p.known_s) for p in inside)
-    shift = int((state.now_s - last_s) // RETARGET_S)
+    last_s = max(max(p.last_seen_s, p.known_s) for p in inside)
+    shift = int((state.now_s - last_s) // TARGET_SILENCE_TIMEOUT_S)
     return peers[ranked[shift % len(ranked)].instance]
 
 
-def _take_superseded(state: State, incarnation: int) -> Iterator[object]:
+def _handle_superseded(state: State, incarnation: int) -> Iterator[object]:
     if incarnation <= state.identity.sender.incarnation or state.membership.superseded:
         return
     state.membership.superseded = True
@@ -122,83 +122,85 @@
     yield Emit(StopRequested())
 
 
-def _take_heartbeat(state: State, sender: Sender, beat: Heartbeat) -> Iterator[object]:
+def _handle_heartbeat(state: State, sender: Sender, heartbeat: Heartbeat) -> Iterator[object]:
     own = state.identity.sender
     if sender.instance == own.instance:
-        yield from _take_superseded(state, sender.incarnation)
+        yield from _handle_superseded(state, sender.incarnation)
         return
     peer = state.membership.peers.get(sender.instance)
     if peer is not None and sender.incarnation < peer.sender.incarnation:
-        yield SendPeer(beat.peer_address, Superseded(peer.sender.incarnation))
+        yield SendPeer(heartbeat.peer_address, Superseded(peer.sender.incarnation))
         return
     if peer is None or sender.incarnation > peer.sender.incarnation:
-        peer = Peer(sender, beat.peer_address, known_s=state.now_s)
+        peer = Peer(sender, heartbeat.peer_address, known_s=state.now_s)
         state.membership.peers[sender.instance] = peer
-    _note_peer(state, peer, beat)
-    _note_zones(state, peer, beat)
-    _note_members(state, sender.zone, beat)
+    _update_peer(state, peer, heartbeat)
+    _update_zones(state, peer, heartbeat)
+    _update_members(state, sender.zone, heartbeat)
     if sender.zone == own.zone:
-        _membership_aggregates.mark_heard(state.membership.aggregates, sender.instance, state.now_s)
-    _membership_aggregates.take_numbers(state, sender.zone, beat.numbers)
-    if beat.wants_answer:
-        yield SendPeer(peer.peer_address, _membership_heartbeat.make_heartbeat(state, peer))
-
-
-def _note_peer(state: State, peer: Peer, beat: Heartbeat) -> None:
-    peer.peer_address = beat.peer_address
-    peer.heard_s = state.now_s
-    peer.echo_s = max(peer.echo_s, beat.sent_s)
-    peer.confirmed_s = max(peer.confirmed_s, beat.echo_s)
-    peer.suspects = frozenset(beat.suspects)
-    peer.next_offset = max(peer.next_offset, beat.next_offset)
-    liveness = LEAVING if beat.leaving else ALIVE
+        _membership_aggregates.mark_origin_seen(
+            state.membership.aggregates, sender.instance, state.now_s
+        )
+    _membership_aggregates.merge_received(state, sender.zone, heartbeat.numbers)
+    if heartbeat.wants_answer:
+        yield SendPeer(peer.peer_address, _membership_heartbeat.build_heartbeat(state, peer))
+
+
+def _update_peer(state: State, peer: Peer, heartbeat: Heartbeat) -> None:
+    peer.peer_address = heartbeat.peer_address
+    peer.last_seen_s = state.now_s
+    peer.echo_s = max(peer.echo_s, heartbeat.sent_s)
+    peer.confirmed_s = max(peer.confirmed_s, heartbeat.echo_s)
+    peer.suspects = frozenset(heartbeat.suspects)
+    peer.next_offset = max(peer.next_offset, heartbeat.next_offset)
+    liveness = LEAVING if heartbeat.leaving else ALIVE
     if peer.state != liveness:
         peer.state = liveness
         peer.changed_s = state.now_s
 
 
-def _note_zones(state: State, peer: Peer, beat: Heartbeat) -> None:
+def _update_zones(state: State, peer: Peer, heartbeat: Heartbeat) -> None:
     own_zone = state.identity.sender.zone
-    if beat.echo_s == NEVER_S:
+    if heartbeat.echo_s == NEVER_S:
         return
     from_own_zone = peer.sender.zone == own_zone
     if not from_own_zone:
-        _confirm_zone(state, peer.sender.zone, beat.echo_s, from_own_zone)
-    for view in beat.zones:
+        _update_zone_reachability(state, peer.sender.zone, heartbeat.echo_s, from_own_zone)
+    for view in heartbeat.zones:
         if view.zone != own_zone:
-            at_s = beat.echo_s - view.age_ms / 1000
-            _confirm_zone(state, view.zone, at_s, from_own_zone)
+            at_s = heartbeat.echo_s - view.age_ms / 1000
+            _update_zone_reachability(state, view.zone, at_s, from_own_zone)
 
 
-def _confirm_zone(state: State, zone: str, at_s: float, from_own_zone: bool) -> None:
+def _update_zone_reachability(state: State, zone: str, at_s: float, from_own_zone: bool) -> None:
     membership = state.membership
     if at_s > membership.zones.get(zone, NEVER_S):
         membership.zones[zone] = at_s
         if from_own_zone:
-            membership.zones_told.add(zone)
+            membership.zones_from_local_peers.add(zone)
         else:
-            membership.zones_told.discard(zone)
-        if state.now_s - at_s <= _membership.ZONE_IN_TOUCH_S:
-            _membership_aggregates.mark_heard(membership.aggregates, zone, state.now_s)
+            membership.zones_from_local_peers.discard(zone)
+        if state.now_s - at_s <= _membership.ZONE_REACHABLE_S:
+            _membership_aggregates.mark_origin_seen(membership.aggregates, zone, state.now_s)
 
 
-def _note_members(state: State, from_zone: str, beat: Heartbeat) -> None:
+def _update_members(state: State, from_zone: str, heartbeat: Heartbeat) -> None:
     own_zone = state.identity.sender.zone
     if from_zone != own_zone:
-        state.membership.direct[from_zone] = state.now_s
-    for view in beat.members:
+        state.membership.direct_heartbeats_s[from_zone] = state.now_s
+    for view in heartbeat.members:
         peer = state.membership.peers.get(view.instance)
         if peer is None or peer.sender.zone == own_zone:
             continue
         zone = peer.sender.zone
-        has_authority = zone == from_zone or not _membership_heartbeat.is_heard_directly(
+        has_authority = zone == from_zone or not _membership_heartbeat.has_direct_heartbeats(
             state, zone
         )
         if has_authority and view.incarnation == peer.sender.incarnation:
-            _note_view(state, peer, view)
+            _update_member(state, peer, view)
 
 
-def _note_view(state: State, peer: Peer, view: MemberView) -> None:
+def _update_member(state: State, peer: Peer, view: MemberView) -> None:
     is_gone = view.state in (DEAD, LEAVING)
     was_gone = peer.state in (DEAD, LEAVING)
     if is_gone != was_gone:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_heartbeat.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_heartbeat.py
@@ -3,22 +3,22 @@
 """
 
 from . import _freshness_withdrawals, _membership, _membership_aggregates
-from ._membership_messages import Heartbeat, MemberView, OriginNumbers, ZoneView
+from ._membership_messages import Heartbeat, MemberView, OriginValues, ZoneView
 from ._membership_state import ALIVE, DEAD, LEAVING, NEVER_S, Peer
 from ._state import State
 
-ZONE_BEAT_S = 0.5
-RELAY_BEAT_S = 1.0
+ZONE_HEARTBEAT_INTERVAL_S = 0.5
+RELAY_HEARTBEAT_INTERVAL_S = 1.0
 # A changed liveness is told to others for this time.
-NEWS_S = 10.0
+LIVENESS_CHANGE_REPORT_S = 10.0
 # An instance tells its zone about members of zones that it heard itself within this time.
-DIRECT_S = 3.0
-MAX_VIEWS = 32
+DIRECT_HEARTBEAT_MAX_AGE_S = 3.0
+MAX_MEMBERS_PER_HEARTBEAT = 32
 # Small enough to fit a count of milliseconds into three bytes of MessagePack.
 MAX_AGE_MS = 65_535
 
 
-def make_heartbeat(state: State, peer: Peer, *, wants_answer: bool = False) -> Heartbeat:
+def build_heartbeat(state: State, peer: Peer, *, wants_answer: bool = False) -> Heartbeat:
     """
     Make the heartbeat for one peer.
 
@@ -37,17 +37,17 @@
         next_offset=state.fold.position.next_offset,
         head_age_ms=_head_age_ms(state),
         wants_answer=wants_answer,
-        zones=_view_zones(state, in_zone),
-        suspects=_view_suspects(state),
-        members=_view_news(state) if in_zone else _view_zone(state),
-        numbers=_choose_numbers(state, peer, in_zone),
-        withdrawn=_freshness_withdrawals.untold(state, peer.withdrawn_seen),
+        zones=_build_zone_views(state, in_zone),
+        suspects=_list_suspects(state),
+        members=_build_changed_members(state) if in_zone else _build_zone_members(state),
+        numbers=_select_values(state, peer, in_zone),
+        withdrawn=_freshness_withdrawals.unacknowledged_withdrawals(state, peer.withdrawn_seen),
         withdrawn_version=state.freshness.version,
         withdrawn_seen=peer.withdrawn_version,
     )
 
 
-def is_heard_directly(state: State, zone: str) -> bool:
+def has_direct_heartbeats(state: State, zone: str) -> bool:
     """
     Tell whether a zone's own heartbeats come here, so that this instance can speak for it.
 
@@ -55,18 +55,21 @@
     :param zone: the other zone.
     :returns: whether one came lately.
     """
-    return state.now_s - state.membership.direct.get(zone, -DIRECT_S) < DIRECT_S
+    return (
+        state.now_s - state.membership.direct_heartbeats_s.get(zone, -DIRECT_HEARTBEAT_MAX_AGE_S)
+        < DIRECT_HEARTBEAT_MAX_AGE_S
+    )
 
 
 def _head_age_ms(state: State) -> int:
-    head_s = state.freshness.head_s
-    return -1 if head_s == NEVER_S else int((state.now_s - head_s) * 1000) + 1
+    log_proof_s = state.freshness.log_proof_s
+    return -1 if log_proof_s == NEVER_S else int((state.now_s - log_proof_s) * 1000) + 1
 
 
-def _view_zones(state: State, in_zone: bool) -> tuple[ZoneView, ...]:
+def _build_zone_views(state: State, in_zone: bool) -> tuple[ZoneView, ...]:
     views = []
     for zone, at_s in state.membership.zones.items():
-        if in_zone and zone in state.membership.zones_told:
+        if in_zone and zone in state.membership.zones_from_local_peers:
             # Another instance of this zone knows it first, and tells all.
             continue
         age_ms = int((state.now_s - at_s) * 1000) + 1
@@ -75,48 +78,50 @@
     return tuple(views)
 
 
-def _view_suspects(state: State) -> tuple[str, ...]:
+def _list_suspects(state: State) -> tuple[str, ...]:
     since_s = state.now_s - _membership.SUSPECT_AFTER_S
     zone = state.identity.sender.zone
     silent = [
         instance
         for instance, peer in state.membership.peers.items()
-        if peer.sender.zone == zone and peer.heard_s < since_s
+        if peer.sender.zone == zone and peer.last_seen_s < since_s
     ]
-    return tuple(silent[:MAX_VIEWS])
+    return tuple(silent[:MAX_MEMBERS_PER_HEARTBEAT])
 
 
-def _view_zone(state: State) -> tuple[MemberView, ...]:
+def _build_zone_members(state: State) -> tuple[MemberView, ...]:
     own = state.identity.sender
     views = [MemberView(own.instance, own.incarnation, LEAVING if state.stopping else ALIVE)]
     for member in _membership.members(state):
         if member.zone == own.zone:
             sender = member.sender
             views.append(MemberView(sender.instance, sender.incarnation, member.state))
-    return tuple(views[:MAX_VIEWS])
+    return tuple(views[:MAX_MEMBERS_PER_HEARTBEAT])
 
 
-def _view_news(state: State) -> tuple[MemberView, ...]:
+def _build_changed_members(state: State) -> tuple[MemberView, ...]:
     own_zone = state.identity.sender.zone
     news = [
         MemberView(peer.sender.instance, peer.sender.incarnation, peer.state)
         for peer in state.membership.peers.values()
         if peer.sender.zone != own_zone
-        and is_heard_directly(state, peer.sender.zone)
-        and (peer.state in (DEAD, LEAVING) or state.now_s - peer.changed_s < NEWS_S)
+        and has_direct_heartbeats(state, peer.sender.zone)
+        and (
+            peer.state in (DEAD, LEAVING) or state.now_s - peer.changed_s < LIVENESS_CHANGE_REPORT_S
+        )
     ]
-    return tuple(news[:MAX_VIEWS])
+    return tuple(news[:MAX_MEMBERS_PER_HEARTBEAT])
 
 
-def _choose_numbers(state: State, peer: Peer, in_zone: bool) -> tuple[OriginNumbers, ...]:
+def _select_values(state: State, peer: Peer, in_zone: bool) -> tuple[OriginValues, ...]:
     membership = state.membership
     if in_zone:
-        limit = _membership_aggregates.ZONE_NUMBERS_PER_S * ZONE_BEAT_S
+        limit = _membership_aggregates.ZONE_VALUES_PER_S * ZONE_HEARTBEAT_INTERVAL_S
         receivers = membership.zone_receivers
         feed = membership.aggregates.zone_feed
     else:
-        limit = _membership_aggregates.RELAY_NUMBERS_PER_S * RELAY_BEAT_S
+        limit = _membership_aggregates.RELAY_VALUES_PER_S * RELAY_HEARTBEAT_INTERVAL_S
         receivers = membership.relay_receivers
         feed = membership.aggregates.relay_feed
     share = max(1, int(limit / max(1, receivers)))
-    return _membership_aggregates.next_numbers(feed, peer, share, state.now_s)
+    return _membership_aggregates.select_feed_values(feed, peer, share, state.now_s)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_messages.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_messages.py
@@ -33,7 +33,7 @@
     state: str
 
 
-class OriginNumbers(NamedTuple):
+class OriginValues(NamedTuple):
     """
     Changed numbers of one origin.
 
@@ -80,7 +80,7 @@
     zones: tuple[ZoneView, ...] = ()
     suspects: tuple[str, ...] = ()
     members: tuple[MemberView, ...] = ()
-    numbers: tuple[OriginNumbers, ...] = ()
+    numbers: tuple[OriginValues, ...] = ()
     withdrawn: tuple[str, ...] = ()
     withdrawn_version: int = 0
     withdrawn_seen: int = 0
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_state.py
@@ -39,7 +39,7 @@
     What is kept of one other entry instance.
 
     :param listed: whether the platform lists it.
-    :param heard_s: time of the newest heartbeat's arrival, or -1.
+    :param last_seen_s: time of the newest heartbeat's arrival, or -1.
     :param confirmed_s: time up to which its last heartbeat is known to be true, or -1.
     :param sent_s: time of the last heartbeat sent to it, or -1.
     :param echo_s: its clock in its newest heartbeat, or -1.
@@ -58,7 +58,7 @@
     peer_address: str
     listed: bool = False
     known_s: float = 0.0
-    heard_s: float = NEVER_S
+    last_seen_s: float = NEVER_S
     confirmed_s: float = NEVER_S
     sent_s: float = NEVER_S
     echo_s: float = NEVER_S
@@ -113,13 +113,13 @@
     Numbers that the entry instances tell each other.
 
     :param numbers: numbers by origin and hash of their name.
-    :param heard_s: time at which each origin was last heard of.
+    :param last_seen_s: time at which each origin was last heard of.
     :param zone_feed: what is told to instances of the own zone.
     :param relay_feed: sums of the own zone, which are told to other zones.
     """
 
     numbers: dict[str, dict[int, int]] = msgspec.field(default_factory=dict)
-    heard_s: dict[str, float] = msgspec.field(default_factory=dict)
+    last_seen_s: dict[str, float] = msgspec.field(default_factory=dict)
     zone_feed: Feed = msgspec.field(default_factory=Feed)
     relay_feed: Feed = msgspec.field(default_factory=Feed)
 
@@ -131,15 +131,15 @@
     :param peers: other entry instances by id.
     :param listed: whether the platform's list was read since the start.
     :param zones: time up to which each other zone is known to be in touch.
-    :param zones_told: zones of which an instance of the own zone has told last.
-    :param direct: time of the last heartbeat that came straight from each other zone.
+    :param zones_from_local_peers: zones of which an instance of the own zone has told last.
+    :param direct_heartbeats_s: time of the last heartbeat that came straight from each other zone.
     :param tick_s: time of the last tick, or -1 before the first.
     :param last_gap_s: length of the last pause between two ticks that was too long.
     :param last_gap_ended_s: time at which that pause ended, or -1.
     :param pauses: count of such pauses.
     :param superseded: whether a newer incarnation of this instance is alive.
-    :param zone_beat_s: time of the last heartbeats in the zone.
-    :param relay_beat_s: time of the last heartbeats to other zones.
+    :param zone_heartbeats_sent_s: time of the last heartbeats in the zone.
+    :param relay_heartbeats_sent_s: time of the last heartbeats to other zones.
     :param zone_receivers: count of the last heartbeats' receivers in the zone.
     :param relay_receivers: count of paths to other zones that this instance serves.
     :param aggregates: numbers that instances tell each other.
@@ -148,15 +148,15 @@
     peers: dict[str, Peer] = msgspec.field(default_factory=dict)
     listed: bool = False
     zones: dict[str, float] = msgspec.field(default_factory=dict)
-    zones_told: set[str] = msgspec.field(default_factory=set)
-    direct: dict[str, float] = msgspec.field(default_factory=dict)
+    zones_from_local_peers: set[str] = msgspec.field(default_factory=set)
+    direct_heartbeats_s: dict[str, float] = msgspec.field(default_factory=dict)
     tick_s: float = NEVER_S
     last_gap_s: float = 0.0
     last_gap_ended_s: float = NEVER_S
     pauses: int = 0
     superseded: bool = False
-    zone_beat_s: float = NEVER_S
-    relay_beat_s: float = NEVER_S
+    zone_heartbeats_sent_s: float = NEVER_S
+    relay_heartbeats_sent_s: float = NEVER_S
     zone_receivers: int = 0
     relay_receivers: int = 0
     aggregates: AggregateState = msgspec.field(default_factory=AggregateState)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_outbox.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_outbox.py
@@ -102,7 +102,7 @@
         return
     for name, lane in state.outbox.lanes.items():
         if record_id.writer == writer_name(state, name):
-            _forget_folded(lane, record_id.sequence)
+            _remove_folded(lane, record_id.sequence)
             yield Emit(RecordResolved(record_id, event.offset, event.accepted, event.reason))
             if event.reason == REASON_FENCED and not state.membership.superseded:
                 state.membership.superseded = True
@@ -133,7 +133,7 @@
     outbox = state.outbox
     if outbox.sending or state.now_s < outbox.not_before_s:
         return
-    _refill(state)
+    _refill_quota(state)
     for name, lane in outbox.lanes.items():
         if lane.uncertain_since_s != NEVER_S:
             continue
@@ -141,7 +141,7 @@
         if batch:
             lane.in_flight = batch
             outbox.sending = name
-            outbox.room_records -= len(batch)
+            outbox.quota_records -= len(batch)
             outbox.appended += len(batch)
             yield AppendRecords(batch)
             return
@@ -149,23 +149,23 @@
 
 def _take_batch(outbox: Outbox, lane: OutboxLane) -> tuple[Record, ...]:
     if lane.in_flight:
-        if outbox.room_records < 1:
+        if outbox.quota_records < 1:
             return ()
         outbox.repeated += len(lane.in_flight)
         return lane.in_flight
-    count = min(len(lane.waiting), BATCH_RECORDS, int(outbox.room_records))
+    count = min(len(lane.waiting), BATCH_RECORDS, int(outbox.quota_records))
     return tuple(lane.waiting.popleft() for _ in range(count))
 
 
-def _refill(state: State) -> None:
+def _refill_quota(state: State) -> None:
     outbox = state.outbox
     writers = 1 + len(state.membership.peers)
     rate = max(MIN_RECORDS_PER_S, FLEET_RECORDS_PER_S / writers)
     if outbox.refilled_s == NEVER_S:
-        outbox.room_records = BATCH_RECORDS
+        outbox.quota_records = BATCH_RECORDS
     else:
         gained = (state.now_s - outbox.refilled_s) * rate
-        outbox.room_records = min(BATCH_RECORDS, outbox.room_records + gained)
+        outbox.quota_records = min(BATCH_RECORDS, outbox.quota_records + gained)
     outbox.refilled_s = state.now_s
 
 
@@ -177,7 +177,7 @@
     return None
 
 
-def _forget_folded(lane: OutboxLane, sequence: int) -> None:
+def _remove_folded(lane: OutboxLane, sequence: int) -> None:
     if lane.in_flight:
         lane.in_flight = tuple(r for r in lane.in_flight if r.id.sequence > sequence)
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_reduce.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_reduce.py
@@ -10,6 +10,7 @@
     _allowance_balance,
     _allowance_lease,
     _allowance_recovery,
+    _catch_up,
     _controllers,
     _dispatch,
     _endpoints_health,
@@ -24,14 +25,13 @@
     _lifecycle,
     _log_follower,
     _maintenance,
-    _membership_beats,
+    _membership_handlers,
     _moves,
     _outbox,
     _overload,
     _pools_control,
-    _relay,
     _snapshots_maker,
-    _snapshots_seek,
+    _snapshots_search,
 )
 from ._effects import Emit
 from ._handlers import Handler, HandlerTable
@@ -41,10 +41,10 @@
 DOMAINS: tuple[HandlerTable, ...] = (
     _log_follower.HANDLERS,
     _outbox.HANDLERS,
-    _membership_beats.HANDLERS,
-    _snapshots_seek.HANDLERS,
+    _membership_handlers.HANDLERS,
+    _snapshots_search.HANDLERS,
     _snapshots_maker.HANDLERS,
-    _relay.HANDLERS,
+    _catch_up.HANDLERS,
     _freshness.HANDLERS,
     _freshness_withdrawals.HANDLERS,
     _allowance_lease.HANDLERS,
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_chunks.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_chunks.py
@@ -82,7 +82,7 @@
     return max(1, -(-len(raw.data) // CHUNK_BYTES))
 
 
-def cut_chunk(raw: RawSnapshot, number: int) -> SnapshotChunk:
+def build_chunk(raw: RawSnapshot, number: int) -> SnapshotChunk:
     """
     Cut and compress one chunk.
 
@@ -126,11 +126,11 @@
         raise ChunkError("chunks are missing")
     ordered = [chunks[number] for number in sorted(chunks)]
     first = ordered[0]
-    if any(_identity(chunk) != _identity(first) for chunk in ordered):
+    if any(_snapshot_key(chunk) != _snapshot_key(first) for chunk in ordered):
         raise ChunkError("chunks of different snapshots")
     if [chunk.number for chunk in ordered] != list(range(first.chunks)):
         raise ChunkError("chunks are missing")
-    data = b"".join(_open_chunk(chunk) for chunk in ordered)
+    data = b"".join(_decompress_chunk(chunk) for chunk in ordered)
     if len(data) != first.total_bytes or xxhash.xxh3_64_intdigest(data) != first.total_checksum:
         raise ChunkError("the whole does not match its checksum")
     return RawSnapshot(first.snapshot, first.offset, first.total_checksum, data)
@@ -163,17 +163,17 @@
         return None
 
 
-def _identity(chunk: SnapshotChunk) -> tuple[str, int, int, int, int]:
+def _snapshot_key(chunk: SnapshotChunk) -> tuple[str, int, int, int, int]:
     return (chunk.snapshot, chunk.offset, chunk.chunks, chunk.total_bytes, chunk.total_checksum)
 
 
-def _open_chunk(chunk: SnapshotChunk) -> bytes:
+def _decompress_chunk(chunk: SnapshotChunk) -> bytes:
     if xxhash.xxh3_64_intdigest(chunk.data) != chunk.checksum:
         raise ChunkError(f"chunk {chunk.number} does not match its checksum")
     if chunk.total_bytes > MAX_SNAPSHOT_BYTES:
         raise ChunkError("the snapshot is too large")
-    opener = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        return opener.decompress(chunk.data, CHUNK_BYTES)
+        return decompressor.decompress(chunk.data, CHUNK_BYTES)
     except zlib.error as exc:
         raise ChunkError(f"chunk {chunk.number} cannot be opened") from exc
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_codec.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_codec.py
@@ -11,7 +11,7 @@
 import msgspec
 import xxhash
 
-from ._fold import Applier, apply_kept
+from ._fold import Applier, apply_unknown_records
 from ._ids import Sender
 from ._snapshots_chunks import RawSnapshot
 from ._state import Fold
@@ -88,7 +88,7 @@
     lost = sorted(set(fold.position.unknown.lost) & set(appliers))
     if lost:
         raise SnapshotError(f"its maker dropped records of {', '.join(lost)}")
-    apply_kept(fold.position, appliers, fold)
+    apply_unknown_records(fold.position, appliers, fold)
     return fold
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_fold.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_fold.py
@@ -24,7 +24,7 @@
     announced: int = 0
 
 
-def apply_made(snapshots: SnapshotFold, offset: int, record: Record) -> str:
+def apply_snapshot_made(snapshots: SnapshotFold, offset: int, record: Record) -> str:
     """
     Take over an announcement.
 
@@ -43,4 +43,4 @@
     return ""
 
 
-APPLIERS = {SNAPSHOT_MADE: apply_made}
+APPLIERS = {SNAPSHOT_MADE: apply_snapshot_made}
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_maker.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_maker.py
@@ -14,7 +14,7 @@
 from ._log_follower import APPLIERS
 from ._log_state import NEVER_S
 from ._membership_state import ALIVE
-from ._snapshots_chunks import count_chunks, cut_chunk
+from ._snapshots_chunks import build_chunk, count_chunks
 from ._snapshots_codec import encode_snapshot
 from ._snapshots_fold import SNAPSHOT_MADE, SNAPSHOT_SUBJECT
 from ._snapshots_messages import (
@@ -22,7 +22,7 @@
     SnapshotAppendFailed,
     SnapshotChunksAppended,
 )
-from ._snapshots_state import Making
+from ._snapshots_state import SnapshotUpload
 from ._state import State
 
 CHUNKS_PER_APPEND = 4
@@ -40,9 +40,9 @@
     """
     Begin a snapshot when it is due and this instance's turn, and append the next chunks.
     """
-    _snapshots_peer.drop_old_offer(state)
-    _note_announcement(state)
-    if state.snapshots.making is not None:
+    _snapshots_peer.drop_expired_shared_snapshot(state)
+    _track_announcement(state)
+    if state.snapshots.upload is not None:
         yield from _append_next(state)
         return
     if not _is_due(state):
@@ -52,7 +52,7 @@
         state.snapshots.due_since_s = state.now_s
     if state.now_s - state.snapshots.due_since_s >= _own_rank(state) * TAKEOVER_S:
         raw = encode_snapshot(state.fold, APPLIERS, state.identity.sender)
-        state.snapshots.making = Making(raw)
+        state.snapshots.upload = SnapshotUpload(raw)
         yield from _append_next(state)
 
 
@@ -60,22 +60,22 @@
     """
     Go on with the next chunks, and announce the snapshot after the last.
     """
-    making = state.snapshots.making
-    if making is None:
+    upload = state.snapshots.upload
+    if upload is None:
         return
-    making.next_number += len(making.in_flight)
-    making.in_flight = ()
-    making.failures = 0
-    making.not_before_s = state.now_s + APPEND_INTERVAL_S
-    if making.next_number < count_chunks(making.raw):
+    upload.next_number += len(upload.in_flight)
+    upload.in_flight = ()
+    upload.failures = 0
+    upload.not_before_s = state.now_s + APPEND_INTERVAL_S
+    if upload.next_number < count_chunks(upload.raw):
         return
-    state.snapshots.making = None
+    state.snapshots.upload = None
     state.snapshots.due_since_s = NEVER_S
     # Not due again while the announcement is under way.
     state.snapshots.seen_s = state.now_s
-    yield WriteLog("snapshot.made", {"snapshot": making.raw.snapshot})
+    yield WriteLog("snapshot.made", {"snapshot": upload.raw.snapshot})
     base = state.fold.position.revisions.get(SNAPSHOT_SUBJECT, 0)
-    body = {"snapshot": making.raw.snapshot, "offset": making.raw.offset}
+    body = {"snapshot": upload.raw.snapshot, "offset": upload.raw.offset}
     yield Emit(RecordWanted(SNAPSHOT_MADE, SNAPSHOT_SUBJECT, base, body))
 
 
@@ -83,28 +83,28 @@
     """
     Append the same chunks again later; readers take each chunk once.
     """
-    making = state.snapshots.making
-    if making is None:
+    upload = state.snapshots.upload
+    if upload is None:
         return
-    making.in_flight = ()
-    making.failures += 1
-    making.not_before_s = state.now_s + RETRY_S * (1 + state.rng.random())
-    if making.failures >= MAX_FAILURES:
-        state.snapshots.making = None
+    upload.in_flight = ()
+    upload.failures += 1
+    upload.not_before_s = state.now_s + RETRY_S * (1 + state.rng.random())
+    if upload.failures >= MAX_FAILURES:
+        state.snapshots.upload = None
         yield WriteLog("snapshot.abandoned", {"reason": event.reason})
 
 
 def _append_next(state: State) -> Iterator[object]:
-    making = state.snapshots.making
-    if making is None or making.in_flight or state.now_s < making.not_before_s:
+    upload = state.snapshots.upload
+    if upload is None or upload.in_flight or state.now_s < upload.not_before_s:
         return
-    last = min(count_chunks(making.raw), making.next_number + CHUNKS_PER_APPEND)
-    numbers = range(making.next_number, last)
-    making.in_flight = tuple(cut_chunk(making.raw, number) for number in numbers)
-    yield AppendSnapshotChunks(making.in_flight)
+    last = min(count_chunks(upload.raw), upload.next_number + CHUNKS_PER_APPEND)
+    numbers = range(upload.next_number, last)
+    upload.in_flight = tuple(build_chunk(upload.raw, number) for number in numbers)
+    yield AppendSnapshotChunks(upload.in_flight)
 
 
-def _note_announcement(state: State) -> None:
+def _track_announcement(state: State) -> None:
     announced = state.fold.snapshots.announced
     if announced != state.snapshots.seen_offset or state.snapshots.seen_s == NEVER_S:
         state.snapshots.seen_offset = announced
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_seek.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_search.py
@@ -22,12 +22,12 @@
     SnapshotsUnavailable,
     StateGiven,
 )
-from ._snapshots_state import SEEKING, WHOLE, Seeking
+from ._snapshots_state import SEEKING, WHOLE, SnapshotSearch
 from ._state import State
 
 WINDOW_CHUNKS = 16
 # Snapshots whose chunks are held at the same time during the search.
-CANDIDATES = 4
+MAX_CANDIDATE_SNAPSHOTS = 4
 RETRY_S = 0.5
 RETRY_MAX_S = 8.0
 
@@ -36,7 +36,7 @@
     """
     Look for a snapshot before the log is read.
     """
-    yield from _begin(state, 0.0)
+    yield from _start_search(state, 0.0)
 
 
 def on_needed(state: State, event: SnapshotNeeded) -> Iterator[object]:
@@ -46,15 +46,15 @@
     if state.snapshots.phase == SEEKING:
         return
     yield WriteLog("recovery.started", {"reason": event.reason})
-    yield from _begin(state, min(RETRY_MAX_S, RETRY_S * 2**state.snapshots.searches))
-    state.snapshots.searches += 1
+    yield from _start_search(state, min(RETRY_MAX_S, RETRY_S * 2**state.snapshots.search_count))
+    state.snapshots.search_count += 1
 
 
 def on_reached(state: State, event: LogReached) -> Iterator[object]:
     """
     Search without delay the next time, since the fold is whole again.
     """
-    state.snapshots.searches = 0
+    state.snapshots.search_count = 0
     return iter(())
 
 
@@ -65,14 +65,14 @@
     state.snapshots.reading = False
     if state.snapshots.phase != SEEKING:
         return
-    seeking = state.snapshots.seeking
-    if not seeking.window_first:
+    search = state.snapshots.search
+    if not search.window_first:
         yield from _read_newest(state, event.first, event.head)
         return
     for stored in event.chunks:
         if stored.chunk is not None:
-            _collect(state, stored.chunk)
-    yield from _use_best(state)
+            _collect_chunk(state, stored.chunk)
+    yield from _install_newest(state)
     if state.snapshots.phase == SEEKING:
         yield from _read_further_back(state)
 
@@ -92,9 +92,9 @@
     """
     state.snapshots.reading = False
     if state.snapshots.phase == SEEKING:
-        seeking = state.snapshots.seeking
-        seeking.window_first = 0
-        seeking.log_failed = True
+        search = state.snapshots.search
+        search.window_first = 0
+        search.log_failed = True
         yield _read(state, 1, 1, RETRY_S)
 
 
@@ -103,7 +103,7 @@
     Ask a peer for its state when the log brings nothing.
     """
     if state.snapshots.phase == SEEKING:
-        yield from _snapshots_peer.ask(state)
+        yield from _snapshots_peer.request_state(state)
 
 
 def on_peer(state: State, event: PeerReceived) -> Iterator[object]:
@@ -111,29 +111,29 @@
     Take a chunk of a peer's state, or give chunks of the own.
     """
     if not isinstance(event.message, StateGiven):
-        yield from _snapshots_peer.answer(state, event)
+        yield from _snapshots_peer.send_state(state, event)
         return
     if state.snapshots.phase != SEEKING:
         return
-    chunks = _snapshots_peer.take(state, event.sender, event.message.chunk)
+    chunks = _snapshots_peer.accept_chunk(state, event.sender, event.message.chunk)
     if not is_complete(chunks):
-        yield from _snapshots_peer.ask_on(state)
+        yield from _snapshots_peer.request_next_chunks(state)
         return
     try:
         yield from install(state, join_chunks(chunks))
     except (ChunkError, SnapshotError) as exc:
-        _snapshots_peer.give_up(state)
-        yield _skipped(event.message.chunk.snapshot, exc)
+        _snapshots_peer.abandon_peer(state)
+        yield _skipped_event(event.message.chunk.snapshot, exc)
         return
     # The peer was whole, so the fold is as whole as its was.
     state.log.caught_up = True
     yield from _finish(state)
 
 
-def _begin(state: State, delay_s: float) -> Iterator[object]:
+def _start_search(state: State, delay_s: float) -> Iterator[object]:
     snapshots = state.snapshots
     snapshots.phase = SEEKING
-    snapshots.seeking = Seeking(since_s=state.now_s)
+    snapshots.search = SnapshotSearch(since_s=state.now_s)
     if not snapshots.reading:
         yield _read(state, 1, 1, delay_s)
 
@@ -144,53 +144,53 @@
 
 
 def _read_newest(state: State, first: int, head: int) -> Iterator[object]:
-    seeking = state.snapshots.seeking
+    search = state.snapshots.search
     if head < first:
         # The stream is empty, so the log must still hold everything.
         yield from _finish(state)
         return
-    seeking.first = first
-    seeking.window_last = head
-    seeking.window_first = max(first, head - WINDOW_CHUNKS + 1)
-    yield _read(state, seeking.window_first, WINDOW_CHUNKS)
+    search.first = first
+    search.window_last = head
+    search.window_first = max(first, head - WINDOW_CHUNKS + 1)
+    yield _read(state, search.window_first, WINDOW_CHUNKS)
 
 
 def _read_further_back(state: State) -> Iterator[object]:
-    seeking = state.snapshots.seeking
-    if seeking.window_first <= seeking.first:
-        yield WriteLog("recovery.no_snapshot", {"chunks_from": seeking.first})
+    search = state.snapshots.search
+    if search.window_first <= search.first:
+        yield WriteLog("recovery.no_snapshot", {"chunks_from": search.first})
         yield from _finish(state)
         return
-    seeking.window_last = seeking.window_first - 1
-    seeking.window_first = max(seeking.first, seeking.window_last - WINDOW_CHUNKS + 1)
-    count = seeking.window_last - seeking.window_first + 1
-    yield _read(state, seeking.window_first, count)
+    search.window_last = search.window_first - 1
+    search.window_first = max(search.first, search.window_last - WINDOW_CHUNKS + 1)
+    count = search.window_last - search.window_first + 1
+    yield _read(state, search.window_first, count)
 
 
-def _collect(state: State, chunk: SnapshotChunk) -> None:
-    seeking = state.snapshots.seeking
-    if chunk.snapshot in seeking.rejected:
+def _collect_chunk(state: State, chunk: SnapshotChunk) -> None:
+    search = state.snapshots.search
+    if chunk.snapshot in search.rejected:
         return
-    seeking.from_log.setdefault(chunk.snapshot, {})[chunk.number] = chunk
-    if len(seeking.from_log) > CANDIDATES:
-        seeking.from_log.pop(min(seeking.from_log, key=lambda name: _offset(state, name)))
+    search.from_log.setdefault(chunk.snapshot, {})[chunk.number] = chunk
+    if len(search.from_log) > MAX_CANDIDATE_SNAPSHOTS:
+        search.from_log.pop(min(search.from_log, key=lambda name: _offset(state, name)))
 
 
 def _offset(state: State, snapshot: str) -> int:
-    chunks = state.snapshots.seeking.from_log[snapshot]
+    chunks = state.snapshots.search.from_log[snapshot]
     return next(iter(chunks.values())).offset
 
 
-def _use_best(state: State) -> Iterator[object]:
-    seeking = state.snapshots.seeking
-    whole = [name for name, chunks in seeking.from_log.items() if is_complete(chunks)]
-    for name in sorted(whole, key=lambda name: _offset(state, name), reverse=True):
+def _install_newest(state: State) -> Iterator[object]:
+    search = state.snapshots.search
+    complete = [name for name, chunks in search.from_log.items() if is_complete(chunks)]
+    for name in sorted(complete, key=lambda name: _offset(state, name), reverse=True):
         try:
-            yield from install(state, join_chunks(seeking.from_log[name]))
+            yield from install(state, join_chunks(search.from_log[name]))
         except (ChunkError, SnapshotError) as exc:
-            seeking.rejected.add(name)
-            del seeking.from_log[name]
-            yield _skipped(name, exc)
+            search.rejected.add(name)
+            del search.from_log[name]
+            yield _skipped_event(name, exc)
         else:
             yield from _finish(state)
             return
@@ -198,11 +198,11 @@
 
 def _finish(state: State) -> Iterator[object]:
     state.snapshots.phase = WHOLE
-    state.snapshots.seeking = Seeking()
+    state.snapshots.search = SnapshotSearch()
     yield Emit(FollowLog())
 
 
-def _skipped(snapshot: str, exc: Exception) -> WriteLog:
+def _skipped_event(snapshot: str, exc: Exception) -> WriteLog:
     return WriteLog("snapshot.skipped", {"snapshot": snapshot, "reason": str(exc)})
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_state.py
@@ -15,7 +15,7 @@
 WHOLE: Phase = "whole"
 
 
-class Seeking(msgspec.Struct):
+class SnapshotSearch(msgspec.Struct):
     """
     The search for a usable snapshot.
 
@@ -29,7 +29,7 @@
     :param from_peer: chunks from the peer that was asked, by number.
     :param peer: instance that was asked, or empty.
     :param peer_snapshot: snapshot that the peer gives, or empty.
-    :param peer_asked_s: time of the last question.
+    :param peer_requested_s: time of the last question.
     :param peer_failures: questions without an answer.
     """
 
@@ -43,11 +43,11 @@
     from_peer: dict[int, SnapshotChunk] = msgspec.field(default_factory=dict)
     peer: str = ""
     peer_snapshot: str = ""
-    peer_asked_s: float = NEVER_S
+    peer_requested_s: float = NEVER_S
     peer_failures: int = 0
 
 
-class Making(msgspec.Struct):
+class SnapshotUpload(msgspec.Struct):
     """
     The snapshot that is being appended.
 
@@ -65,7 +65,7 @@
     failures: int = 0
 
 
-class Offered(msgspec.Struct):
+class SharedSnapshot(msgspec.Struct):
     """
     The snapshot that is kept ready for peers.
 
@@ -82,22 +82,22 @@
     Snapshots at this instance.
 
     :param phase: how far the start has come.
-    :param seeking: the search, while it goes on.
+    :param search: the search, while it goes on.
     :param reading: whether a read of the snapshot stream is awaited or scheduled.
-    :param searches: searches since the fold was last whole.
-    :param making: the snapshot that is being appended, or ``None``.
-    :param offered: the snapshot for peers.
+    :param search_count: searches since the fold was last whole.
+    :param upload: the snapshot that is being appended, or ``None``.
+    :param shared_snapshot: the snapshot for peers.
     :param seen_s: time at which the newest announcement was folded here.
     :param seen_offset: offset of that announcement.
     :param due_since_s: time since which a new snapshot is due, or -1.
     """
 
     phase: Phase = NEW
-    seeking: Seeking = msgspec.field(default_factory=Seeking)
+    search: SnapshotSearch = msgspec.field(default_factory=SnapshotSearch)
     reading: bool = False
-    searches: int = 0
-    making: Making | None = None
-    offered: Offered = msgspec.field(default_factory=Offered)
+    search_count: int = 0
+    upload: SnapshotUpload | None = None
+    shared_snapshot: SharedSnapshot = msgspec.field(default_factory=SharedSnapshot)
     seen_s: float = NEVER_S
     seen_offset: int = 0
     due_since_s: float = NEVER_S
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_state.py
@@ -8,6 +8,7 @@
 
 from ._allowance_fold import AllowanceFold
 from ._allowance_state import LimitState
+from ._catch_up_state import CatchUpState
 from ._config import ConfigFold
 from ._effects import Identity
 from ._endpoints_state import EndpointState
@@ -22,7 +23,6 @@
 from ._membership_state import MembershipState
 from ._overload_state import OverloadState
 from ._pools import PoolFold
-from ._relay_state import RelayState
 from ._requests import Attempt
 from ._snapshots_fold import SnapshotFold
 from ._snapshots_state import SnapshotState
@@ -110,7 +110,7 @@
     membership: MembershipState = msgspec.field(default_factory=MembershipState)
     fleet: FleetState = msgspec.field(default_factory=FleetState)
     tail: LogTail = msgspec.field(default_factory=LogTail)
-    relay: RelayState = msgspec.field(default_factory=RelayState)
+    catch_up: CatchUpState = msgspec.field(default_factory=CatchUpState)
     freshness: FreshnessState = msgspec.field(default_factory=FreshnessState)
     snapshots: SnapshotState = msgspec.field(default_factory=SnapshotState)
 
--- a/packages/eelgrassdrum-core/tests/test_fold.py
+++ b/packages/eelgrassdrum-core/tests/test_fold.py
@@ -10,9 +10,9 @@
 
 from eelgrassdrum_core import Record, RecordId, Sender, StoredRecord, fold_record
 from eelgrassdrum_core import _fold as fold_module
-from eelgrassdrum_core._fold import LogPosition, apply_kept
+from eelgrassdrum_core._fold import LogPosition, apply_unknown_records
 from eelgrassdrum_core._log_follower import APPLIERS
-from eelgrassdrum_core._snapshots_chunks import ChunkError, cut_chunk, join_chunks
+from eelgrassdrum_core._snapshots_chunks import ChunkError, build_chunk, join_chunks
 from eelgrassdrum_core._snapshots_codec import SnapshotError, decode_snapshot, encode_snapshot
 from eelgrassdrum_core._state import Fold
 
@@ -82,7 +82,7 @@
     upgraded, values = LogPosition(), {}
     fold_all(upgraded, OLDER, values, records[:split])
     upgraded = copied(upgraded)
-    apply_kept(upgraded, NEWER, values)
+    apply_unknown_records(upgraded, NEWER, values)
     fold_all(upgraded, NEWER, values, records[split:])
     assert values == direct_values
     assert upgraded.revisions == direct.revisions
@@ -100,14 +100,14 @@
     """
     Without the records of unknown kinds the upgraded fold differs, and the comparison shows it.
     """
-    kept = fold_module._keep_unknown
-    fold_module._keep_unknown = lambda unknown, stored: None
+    kept = fold_module._retain_unknown
+    fold_module._retain_unknown = lambda unknown, stored: None
     try:
         check_upgrade()
     except AssertionError:
         return
     finally:
-        fold_module._keep_unknown = kept
+        fold_module._retain_unknown = kept
     raise AssertionError("the check did not notice")
 
 
@@ -154,7 +154,7 @@
     """
     folded = make_fold()
     raw = encode_snapshot(folded, APPLIERS, MAKER)
-    chunks = {0: cut_chunk(raw, 0)}
+    chunks = {0: build_chunk(raw, 0)}
     assert decode_snapshot(join_chunks(chunks), APPLIERS) == folded
 
 
@@ -163,7 +163,7 @@
     A flipped bit, a missing chunk, a foreign offset and a newer layout are each refused by name.
     """
     raw = encode_snapshot(make_fold(), APPLIERS, MAKER)
-    chunk = cut_chunk(raw, 0)
+    chunk = build_chunk(raw, 0)
     damaged = (
         {0: chunk._replace(data=chunk.data[:-1] + bytes([chunk.data[-1] ^ 1]))},
         {0: chunk._replace(total_checksum=chunk.total_checksum + 1)},
--- a/packages/eelgrassdrum-core/tests/test_freshness.py
+++ b/packages/eelgrassdrum-core/tests/test_freshness.py
@@ -15,7 +15,7 @@
     proof_age_s,
     reduce,
 )
-from eelgrassdrum_core._freshness_withdrawals import KeyWithdrawalAsked, untold
+from eelgrassdrum_core._freshness_withdrawals import KeyWithdrawalAsked, unacknowledged_withdrawals
 from eelgrassdrum_core._membership_messages import Heartbeat
 
 PEER = Sender("b1", 1, "b")
@@ -57,8 +57,8 @@
     """
     Let the instance take a heartbeat of zone b.
     """
-    beat = Heartbeat(now_s, -1.0, "b1", False, 2, -1)._replace(**fields)
-    reduce(state, now_s, events.PeerReceived(PEER, beat))
+    heartbeat = Heartbeat(now_s, -1.0, "b1", False, 2, -1)._replace(**fields)
+    reduce(state, now_s, events.PeerReceived(PEER, heartbeat))
 
 
 FIXTURES = {"state": make_state, "unheard": make_unheard}
@@ -133,8 +133,8 @@
     """
     reduce(state, 11.0, KeyWithdrawalAsked("show", "k1"))
     peer = state.membership.peers["b1"]
-    assert untold(state, peer.withdrawn_seen) == ("show/k1",)
+    assert unacknowledged_withdrawals(state, peer.withdrawn_seen) == ("show/k1",)
     hear(state, 12.0, withdrawn_seen=1)
-    assert untold(state, peer.withdrawn_seen) == ()
+    assert unacknowledged_withdrawals(state, peer.withdrawn_seen) == ()
     reduce(state, 13.0, KeyWithdrawalAsked("show", "k2"))
-    assert untold(state, peer.withdrawn_seen) == ("show/k1", "show/k2")
+    assert unacknowledged_withdrawals(state, peer.withdrawn_seen) == ("show/k1", "show/k2")
--- a/packages/eelgrassdrum-core/tests/test_membership.py
+++ b/packages/eelgrassdrum-core/tests/test_membership.py
@@ -23,7 +23,7 @@
     )
 
 
-def beat(sent_s: float, echo_s: float = -1.0, **changes: object) -> Heartbeat:
+def make_heartbeat(sent_s: float, echo_s: float = -1.0, **changes: object) -> Heartbeat:
     """
     Make a heartbeat that says nothing in particular.
     """
@@ -34,7 +34,7 @@
     """
     Let the instance take a heartbeat, and give the effects.
     """
-    message = beat(now_s, **{"echo_s": now_s, "peer_address": name, **changes})
+    message = make_heartbeat(now_s, **{"echo_s": now_s, "peer_address": name, **changes})
     sender = Sender(name, incarnation, name[0])
     return reduce(state, now_s, events.PeerReceived(sender, message))[1]
 
@@ -220,8 +220,8 @@
     Numbers of zones and instances add up, and count no more once their origin is silent.
     """
     key = aggregates.hash_name("demand", "show/judges")
-    from_zone = (aggregates.OriginNumbers("b", {key: 100}),)
-    hear(state, 1.0, "a2", numbers=(aggregates.OriginNumbers("a2", {key: 5}),))
+    from_zone = (aggregates.OriginValues("b", {key: 100}),)
+    hear(state, 1.0, "a2", numbers=(aggregates.OriginValues("a2", {key: 5}),))
     hear(state, 1.0, "b1", numbers=from_zone)
     assert aggregates.zone_number(state, "demand", "show/judges") == 5
     assert aggregates.fleet_number(state, "demand", "show/judges") == 105
@@ -243,5 +243,5 @@
         del aggregates.PROVIDERS["demand"]
     messages = [m for name in ("a2", "a3") for m in sent(produced, name)]
     count = sum(len(item.numbers) for message in messages for item in message.numbers)
-    allowed = aggregates.ZONE_NUMBERS_PER_S * 2
-    assert 0 < count <= allowed + aggregates.ZONE_NUMBERS_PER_S * heartbeat.ZONE_BEAT_S
+    allowed = aggregates.ZONE_VALUES_PER_S * 2
+    assert 0 < count <= allowed + aggregates.ZONE_VALUES_PER_S * heartbeat.ZONE_HEARTBEAT_INTERVAL_S
--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/bench/_bench_recovery.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/bench/_bench_recovery.py
@@ -24,7 +24,7 @@
     reduce,
 )
 from eelgrassdrum_core._log_follower import APPLIERS
-from eelgrassdrum_core._snapshots_chunks import count_chunks, cut_chunk
+from eelgrassdrum_core._snapshots_chunks import build_chunk, count_chunks
 from eelgrassdrum_core._snapshots_codec import encode_snapshot
 
 from .._full_state import CHANGES_PER_DAY, FleetSize, make_log
@@ -47,7 +47,7 @@
     replayed, replay_s = _timed(lambda: _replay(encoded))
     raw = encode_snapshot(replayed.fold, APPLIERS, replayed.identity.sender)
     chunks = [
-        msgspec.json.encode(chunk_to_json(cut_chunk(raw, number)))
+        msgspec.json.encode(chunk_to_json(build_chunk(raw, number)))
         for number in range(count_chunks(raw))
     ]
     tail = [_tail_record(replayed, number) for number in range(TAIL_RECORDS)]
--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/capacity/_fold_cost.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/capacity/_fold_cost.py
@@ -8,7 +8,7 @@
 
 from eelgrassdrum_core import Sender, fold_record
 from eelgrassdrum_core._log_follower import APPLIERS
-from eelgrassdrum_core._snapshots_chunks import count_chunks, cut_chunk, join_chunks
+from eelgrassdrum_core._snapshots_chunks import build_chunk, count_chunks, join_chunks
 from eelgrassdrum_core._snapshots_codec import decode_snapshot, encode_snapshot
 from eelgrassdrum_core._state import Fold
 
@@ -64,7 +64,7 @@
     began_s = process_time()
     raw = encode_snapshot(fold, APPLIERS, MAKER)
     encode_step_s = process_time() - began_s
-    chunks = {number: cut_chunk(raw, number) for number in range(count_chunks(raw))}
+    chunks = {number: build_chunk(raw, number) for number in range(count_chunks(raw))}
     encode_s = process_time() - began_s
     began_s = process_time()
     decode_snapshot(join_chunks(chunks), APPLIERS)
--- a/packages/eelgrassdrum-testing/tests/test_recovery.py
+++ b/packages/eelgrassdrum-testing/tests/test_recovery.py
@@ -233,12 +233,12 @@
     advance(snapshots, 2.0)
     entry = start_new(snapshots)
     with mock.patch("eelgrassdrum_core._snapshots_chunks.CHUNK_BYTES", 1024):
-        while not entry.state.snapshots.seeking.from_peer:
+        while not entry.state.snapshots.search.from_peer:
             advance(snapshots, 0.001)
-        kill_entry(snapshots, snapshots.entries[entry.state.snapshots.seeking.peer])
+        kill_entry(snapshots, snapshots.entries[entry.state.snapshots.search.peer])
         assert not entry.state.log.caught_up
         seconds_until_whole(snapshots, entry)
-    assert entry.state.snapshots.seeking.peer == ""
+    assert entry.state.snapshots.search.peer == ""
 
 
 def test_fallen_behind_instance_recovers(snapshots: World) -> None:
--- a/packages/eelgrassdrum-testing/tests/test_repeats.py
+++ b/packages/eelgrassdrum-testing/tests/test_repeats.py
@@ -206,7 +206,7 @@
     advance(world, 4.0)
     assert told(world, repeat).refusal.code.run_state == refusals.UNKNOWN
     assert told(world, token).refusal.code == refusals.UNRESOLVED
-    advance(world, joins_voters.MAX_KEEP_S)
+    advance(world, joins_voters.MAX_CLAIM_S)
     token = send(world, "b", "r3")
     advance(world, 4.0)
     assert told(world, token).answer == "r3"
@@ -223,7 +223,7 @@
         replace(world, zone)
         advance(world, 0.3)
     advance(world, 5.0)
-    assert [entry.state.joins.whole for entry in world.entries.values()] == [True] * 3
+    assert [entry.state.joins.complete for entry in world.entries.values()] == [True] * 3
 
 
 def test_late_votes_do_not_count(world: World) -> None:
@@ -277,7 +277,7 @@
             advance(world, 1.0)
     state = world.entries["entry-a0"].state
     assert state.joins.kept_bytes <= 25
-    assert len(state.joins.kept) == 2
+    assert len(state.joins.kept_answers) == 2
     token = send(world, "a", "r0")
     assert told(world, token).refusal.code == refusals.OUTCOME_UNKNOWN
     assert len(world.runs) == 5
@@ -289,7 +289,7 @@
     """
     for number in range(5):
         send(world, "a", f"r{number}")
-    advance(world, joins_claims.KEEP_S + 20.0)
+    advance(world, joins_claims.OUTCOME_RETENTION_S + 20.0)
     for entry in world.entries.values():
         assert not entry.state.joins.known
         assert not entry.state.joins.claims
@@ -340,7 +340,7 @@
     """
     fleet = make_fleet(5, entries_per_zone=3, settle_s=0.5)
     advance(fleet, 6.0)
-    assert [entry.id for entry in fleet.entries.values() if not entry.state.joins.whole] == []
+    assert [entry.id for entry in fleet.entries.values() if not entry.state.joins.complete] == []
 
 
 def test_claims_told_by_an_unlisted_instance_are_left(world: World) -> None:
