--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_catch_up.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_catch_up.py
@@ -1,8 +1,9 @@
 """
-Records from peer to peer, for instances that cannot read the log.
+Catch-up from peers, for instances that cannot read the log.
 
-Records keep their offsets, so the fold is the same whichever way they come. An instance asks a
-peer that has folded further; what the peer no longer holds is replaced by a snapshot.
+Records keep their offsets, so the fold is the same whether they come from the log or from a peer.
+An instance requests records from a peer that has folded further. When the peer no longer holds
+them, a snapshot is used instead.
 """
 
 from collections.abc import Iterator
@@ -22,7 +23,7 @@
 
 ANSWER_TIMEOUT_S = 1.0
 ANSWER_BYTES = 256 * 1024
-# An instance that reads the log itself leaves it so much time before it asks a peer.
+# An instance that can read the log waits this long for it before it asks a peer.
 LOG_GRACE_S = 1.0
 
 
@@ -31,7 +32,7 @@
     """
     Asks a peer for records that it has folded.
 
-    :param from_offset: first offset wanted.
+    :param from_offset: first offset requested.
     """
 
     from_offset: int
@@ -40,12 +41,12 @@
 @register_message
 class RecordsGiven(NamedTuple):
     """
-    Folded records of a peer.
+    Folded records of the sender.
 
-    :param records: records in offset order, which need not be all.
-    :param first: oldest offset that the peer holds.
-    :param next_offset: first offset that the peer has not folded.
-    :param caught_up: whether the peer's fold is whole.
+    :param records: records in offset order, possibly only a part.
+    :param first: oldest offset that the sender holds.
+    :param next_offset: first offset that the sender has not folded.
+    :param caught_up: whether the sender's fold is complete.
     """
 
     records: tuple[StoredRecord, ...]
@@ -56,14 +57,14 @@
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Ask a peer when one has folded further.
+    Request records when a peer has folded further.
     """
     yield from _request_records(state)
 
 
 def on_peer(state: State, event: PeerReceived) -> Iterator[object]:
     """
-    Give records, take records, or notice that a peer has folded further.
+    Send records, apply records, or request them when a heartbeat shows that a peer is ahead.
     """
     peer = state.membership.peers.get(event.sender.instance)
     if peer is None or peer.sender != event.sender:
@@ -78,10 +79,10 @@
 
 def reads_log(state: State) -> bool:
     """
-    Tell whether this instance gets answers from the log service itself.
+    Return whether this instance can read from the log service.
 
     :param state: the state.
-    :returns: whether the last read was answered, and not too long ago.
+    :returns: whether the last read succeeded, and not too long ago.
     """
     log = state.log
     max_silence_s = state.tuning.log_wait_s + LOG_GRACE_S
@@ -102,7 +103,7 @@
         return
     if catch_up.peer and state.now_s - catch_up.requested_s < ANSWER_TIMEOUT_S:
         return
-    # A peer that did not answer is asked again only when there is no other.
+    # A peer that has not answered is asked again only when no other peer is ahead.
     others = [peer for peer in ahead if peer.sender.instance != catch_up.peer]
     chosen = (others or ahead)[0]
     catch_up.peer = chosen.sender.instance
@@ -113,7 +114,8 @@
 def _peers_ahead(state: State) -> list[Peer]:
     own_zone = state.identity.sender.zone
     own_offset = state.fold.position.next_offset
-    # One that is not whole yet asks those who are, even when there is nothing new to fold.
+    # An instance that has not caught up also asks peers at its own offset, because the answer of a
+    # caught-up peer shows that it has caught up as well.
     wanted = own_offset + 1 if state.log.caught_up else max(2, own_offset)
     ahead = [
         peer
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_catch_up_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_catch_up_state.py
@@ -1,5 +1,5 @@
 """
-State of asking peers for records.
+State of the catch-up of records from peers.
 """
 
 import msgspec
@@ -9,11 +9,11 @@
 
 class CatchUpState(msgspec.Struct):
     """
-    The open question to a peer.
+    The open request to a peer.
 
-    :param peer: instance that was asked, or empty.
-    :param requested_s: time of asking.
-    :param ahead_since_s: time since which some peer has folded further, or -1.
+    :param peer: instance that was asked for records, or empty.
+    :param requested_s: time of the request.
+    :param ahead_since_s: time since which a peer has folded further, or -1.
     :param records_given: records sent to peers since the start.
     :param records_taken: records folded from peers since the start.
     """
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fold.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fold.py
@@ -1,10 +1,11 @@
 """
-The fold of the control stream: one deterministic decision about each record, in offset order.
+The fold of the control stream: accepts or rejects each record deterministically, in offset order.
 
-A record carries the revision of its subject that it builds on, so a writer that was overtaken is
-told so, repeats are recognised by the writer's sequence, and a replaced writer is fenced by its
-incarnation. Domains add the meaning of their kinds in tables of appliers. Records of kinds that
-this program does not know are kept, so that a newer one that starts from this fold can apply them.
+A record carries the revision of its subject that it builds on, so that concurrent updates are
+detected (optimistic concurrency control). Repeated appends are recognised by the writer's sequence
+number, and a replaced writer is fenced by its incarnation. Domains register an applier function
+for each of their record kinds. Records of kinds that this version does not know are retained, so
+that a newer version that starts from this fold can apply them.
 """
 
 from collections.abc import Callable, Mapping
@@ -21,22 +22,22 @@
 REASON_NO_BASE = "base_required"
 REASON_UNKNOWN_KIND = "unknown_kind"
 
-# Offsets after which a writer that wrote nothing is forgotten. Longer than the log keeps records.
+# A writer without a record in this many offsets is evicted. Longer than the log keeps records.
 WRITER_RETENTION_OFFSETS = 1_000_000
-# Decisions kept so that writers can ask for them.
+# Most recent decisions that are retained so that writers can look them up.
 DECISIONS_KEPT = 4096
-# Bounds of what is kept of kinds that this program does not know.
+# Limits on the retained records of kinds that this version does not know.
 UNKNOWN_RECORDS_KEPT = 5000
 UNKNOWN_BYTES_KEPT = 8 * 1024 * 1024
 
 
 class WriterMark(NamedTuple):
     """
-    How far a writer has come.
+    The last record of a writer.
 
-    :param incarnation: its newest incarnation.
-    :param sequence: its highest sequence in that incarnation.
-    :param offset: where that record is.
+    :param incarnation: the writer's newest incarnation.
+    :param sequence: highest sequence number in that incarnation.
+    :param offset: offset of that record.
     """
 
     incarnation: int
@@ -46,13 +47,13 @@
 
 class Decision(NamedTuple):
     """
-    What became of a record.
+    Whether a record was accepted, and why not.
 
-    :param offset: its place in the log.
+    :param offset: offset of the record.
     :param record: the record.
     :param accepted: whether it took effect.
-    :param reason: why not, or empty.
-    :param overtaken_by: offset of the record that it lost against, or 0.
+    :param reason: why it was rejected, or empty.
+    :param overtaken_by: offset of the accepted record that it conflicts with, or 0.
     """
 
     offset: int
@@ -64,13 +65,13 @@
 
 class Verdict(NamedTuple):
     """
-    What is remembered of a decision, without the record's body.
+    A decision as it is retained, without the record's body.
 
-    :param offset: its place in the log.
+    :param offset: offset of the record.
     :param accepted: whether it took effect.
-    :param reason: why not, or empty.
-    :param overtaken_by: offset of the record that it lost against, or 0.
-    :param subject: what the record changes, which tells who may see the verdict.
+    :param reason: why it was rejected, or empty.
+    :param overtaken_by: offset of the accepted record that it conflicts with, or 0.
+    :param subject: subject of the record, which determines who may see the verdict.
     """
 
     offset: int
@@ -82,12 +83,12 @@
 
 class UnknownRecords(msgspec.Struct):
     """
-    Records of kinds that this program does not know, oldest first.
+    Retained records of kinds that this version does not know, oldest first.
 
     :param records: the records.
-    :param sizes: bytes of each, encoded.
+    :param sizes: encoded size of each record in bytes.
     :param total_bytes: sum of the sizes.
-    :param lost: count by kind of those that were dropped to keep within the bounds.
+    :param lost: number of records by kind that were dropped to stay within the limits.
     """
 
     records: list[StoredRecord] = msgspec.field(default_factory=list)
@@ -98,13 +99,13 @@
 
 class LogPosition(msgspec.Struct):
     """
-    Revisions, writers and the next offset to fold.
+    Position in the log, with what is needed to check the next record.
 
-    :param next_offset: first offset that was not folded.
+    :param next_offset: first offset that is not folded yet.
     :param revisions: offset of each subject's last accepted record.
-    :param writers: how far each writer has come, in the order of their last records.
-    :param decisions: the newest decisions.
-    :param unknown: records that a newer program may understand.
+    :param writers: last record of each writer, in the order of these records.
+    :param decisions: the most recent decisions.
+    :param unknown: records of kinds that only a newer version knows.
     """
 
     next_offset: int = 1
@@ -114,8 +115,8 @@
     unknown: UnknownRecords = msgspec.field(default_factory=UnknownRecords)
 
 
-# An applier changes its slice of the folded state. It returns a reason to reject the record, or an
-# empty text, and must decide before it changes anything.
+# An applier updates its slice of the folded state. It returns a reason to reject the record, or an
+# empty string. It has to check the record before it changes any state.
 Applier = Callable[[Any, int, Record], str]
 
 
@@ -126,15 +127,15 @@
     stored: StoredRecord,
 ) -> Decision | None:
     """
-    Decide about the next record of the log.
+    Accept or reject the next record of the log, and apply it if it is accepted.
 
     :param position: changed in place.
-    :param appliers: meaning of each kind; records of other kinds are kept for a newer program,
-        which decides about them when it starts from this fold.
+    :param appliers: applier of each kind; records of other kinds are retained for a newer version,
+        which applies or rejects them when it starts from this fold.
     :param folded: the folded state, changed in place by the applier.
     :param stored: the record at ``position.next_offset``.
-    :returns: the decision, or ``None`` when the log holds no record there.
-    :raises ValueError: when the offset is not the next one.
+    :returns: the decision, or ``None`` when the log holds no valid record at this offset.
+    :raises ValueError: when ``stored`` is not at the next offset.
     """
     if stored.offset != position.next_offset:
         raise ValueError(f"expected offset {position.next_offset}, got {stored.offset}")
@@ -216,7 +217,7 @@
 
 
 def _evict_idle_writer(position: LogPosition, offset: int) -> None:
-    # Writers stand in the order of their last record, so only the first can be too old.
+    # Writers are ordered by their last record, so the first one has been idle the longest.
     oldest = next(iter(position.writers), None)
     if oldest is None:
         return
@@ -228,13 +229,13 @@
     position: LogPosition, appliers: Mapping[str, Applier], folded: Any
 ) -> None:
     """
-    Decide about the kept records of kinds that an older program did not know.
+    Apply the retained records of kinds that an older version did not know.
 
-    A kind depends only on the subjects and the slice of its own domain, so deciding about its
-    records after those of other kinds gives what deciding in order would have given.
+    A kind depends only on the subjects and the slice of its own domain, so applying its records
+    after those of other kinds gives the same result as applying all records in order.
 
-    :param position: its kept records are changed in place.
-    :param appliers: meaning of each kind.
+    :param position: its retained records are changed in place.
+    :param appliers: applier of each kind.
     :param folded: the folded state, changed in place.
     """
     unknown = position.unknown
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness.py
@@ -1,10 +1,11 @@
 """
-Whether this instance can prove that it has heard of every withdrawn key.
+Whether this instance can prove that it knows every withdrawn key.
 
-There are two proofs, and the newer one counts. Either all records that were in the log at some
-moment are folded here, as read from the log or told by a peer; or at some moment every zone was
-in touch, directly or over relays, so that a withdrawal known in any of them has come here. A
-message is dated by the echo that it carries, so one that waited in a buffer proves nothing new.
+There are two kinds of proof, and the newer one counts. Either this instance has folded every
+record that the log held at some time, as read from the log or reported by a peer; or every zone
+was reachable at some time, directly or through relays, so that a withdrawal known in any of them
+has arrived here. A message is dated by the echoed timestamp that it carries, so a message that was
+delayed in a buffer proves nothing new.
 """
 
 from collections.abc import Iterator
@@ -21,17 +22,17 @@
 from ._state import State
 
 UNVERIFIED_RETRY_S = 2.0
-# A claim that could not be used for so long gives way to a newer one.
+# A peer's proof that could not be used for this time is replaced by a newer one.
 PEER_PROOF_KEPT_S = 2.0
 
 
 def keyed_work_allowed(state: State, team: Team) -> bool:
     """
-    Tell whether keys of a team may be taken.
+    Return whether requests with keys of a team may be accepted.
 
     :param state: the state.
-    :param team: the team; its grace extends the bound.
-    :returns: whether the newest proof is young enough.
+    :param team: the team; its grace period extends the allowed age.
+    :returns: whether the newest proof is recent enough.
     """
     if state.membership.superseded:
         return False
@@ -40,20 +41,20 @@
 
 def unverified_refusal(state: State) -> Refusal:
     """
-    Give the refusal of a keyed request when keys can't be taken.
+    Return the refusal of a keyed request while keys can't be verified.
 
     :param state: the state.
-    :returns: the refusal; callers spread their return over some time.
+    :returns: the refusal; its retry delay has jitter, so that callers don't return all at once.
     """
     return Refusal(_refusals.KEY_UNVERIFIED, UNVERIFIED_RETRY_S * (0.75 + state.rng.random() / 2))
 
 
 def proof_age_s(state: State) -> float:
     """
-    Give the age of the newest proof of freshness.
+    Return the age of the newest proof of freshness.
 
     :param state: the state.
-    :returns: seconds, infinite when there never was one.
+    :returns: age in seconds, infinite when there is no proof yet.
     """
     proved_s = max(state.freshness.log_proof_s, _all_zones_reached_s(state))
     return float("inf") if proved_s == NEVER_S else state.now_s - proved_s
@@ -61,18 +62,18 @@
 
 def is_withdrawn(state: State, name: str) -> bool:
     """
-    Tell whether a key's withdrawal is known, in the log or ahead of it.
+    Return whether a key is known to be withdrawn, from the log or from a peer before the log.
 
     :param state: the state.
     :param name: ``WORKSPACE/KEYID``.
-    :returns: whether it is.
+    :returns: whether it is withdrawn.
     """
     return name in state.freshness.withdrawn or name in state.fold.keys.withdrawn
 
 
 def on_reached(state: State, event: LogReached) -> Iterator[object]:
     """
-    Count a read of the log up to its head as a proof.
+    Record a proof after the log was read up to its head.
     """
     state.freshness.log_proof_s = max(state.freshness.log_proof_s, event.as_of_s)
     return iter(())
@@ -80,7 +81,7 @@
 
 def on_heartbeat(state: State, event: PeerReceived) -> Iterator[object]:
     """
-    Count what a peer has seen of the log as a proof, once as much is folded here.
+    Record a peer's proof; it takes effect once the same offset is folded here.
     """
     heartbeat = event.message
     if isinstance(heartbeat, Heartbeat) and _is_current(state, event.sender):
@@ -94,7 +95,7 @@
 
 def on_folded(state: State, event: RecordFolded) -> Iterator[object]:
     """
-    Use a peer's claim when the fold has come so far.
+    Apply a peer's proof if the fold has reached its offset.
     """
     _update_behind_since(state)
     _apply_peer_proof(state)
@@ -103,7 +104,7 @@
 
 def on_replaced(state: State, event: FoldReplaced) -> Iterator[object]:
     """
-    Use a peer's claim when the fold has come so far.
+    Apply a peer's proof if the fold has reached its offset.
     """
     _update_behind_since(state)
     _apply_peer_proof(state)
@@ -133,10 +134,11 @@
 
 def _may_know_withdrawals(peer: Peer) -> bool:
     """
-    Tell whether an instance may know of a withdrawal that is not known here.
+    Return whether an instance may know of a withdrawal that is not known here.
 
-    A silent instance counts as dead after some seconds, but to an instance that is cut off all
-    others are silent, so only the platform's list or a goodbye proves that one is gone.
+    An instance that sends no heartbeats counts as dead after some seconds. But an instance behind
+    a network partition receives no heartbeats at all, so only the platform's instance list or a
+    heartbeat that announces leaving proves that a peer is gone.
     """
     return peer.state != LEAVING and (peer.listed or peer.state != DEAD)
 
@@ -151,7 +153,7 @@
             freshness.all_zones_reached_s, _all_zones_reached_s(state)
         )
     elif freshness.behind_since_s == NEVER_S:
-        # What others have folded meanwhile may be as old as the last moment of touch.
+        # Records that peers have folded since may be as old as the last complete contact.
         freshness.behind_since_s = max(freshness.all_zones_reached_s, 0.0)
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness_withdrawals.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness_withdrawals.py
@@ -1,9 +1,9 @@
 """
-Withdrawals that go from peer to peer, ahead of the log.
+Propagation of key withdrawals between peers, without waiting for the log.
 
-A withdrawal only ever takes something away, so it is in force here as soon as it is heard and
-needs no order against other records. It rides on every heartbeat to a peer until that peer has
-it, and goes on doing so until it is folded from the log.
+A withdrawal only ever removes permissions, so it takes effect as soon as it arrives and needs no
+order relative to other records. It is piggybacked on every heartbeat to a peer until that peer has
+acknowledged it, and it is retained until it is folded from the log.
 """
 
 from collections.abc import Iterator
@@ -23,17 +23,17 @@
 from ._records import KEY_WITHDRAWN
 from ._state import State
 
-# Withdrawals that one message carries at most; more wait until the log holds some of them.
+# Further withdrawals wait until some of these are folded from the log.
 MAX_WITHDRAWALS_PER_HEARTBEAT = 1000
-# Another instance appends a withdrawal when its first one has not in this time.
+# The next instance appends a withdrawal that its first one has not appended in this time.
 TAKEOVER_S = 5.0
-# A withdrawal has reached all of a zone so long after it left here, when the zone is in touch.
+# A withdrawal reaches all instances of a reachable zone within this time.
 ZONE_PROPAGATION_S = 1.0
 
 
 class KeyWithdrawalAsked(NamedTuple):
     """
-    An operator withdraws a key at this instance, whether or not the log can be reached.
+    An operator withdraws a key at this instance, whether or not the log is available.
 
     :param workspace: the key's workspace.
     :param key_id: the key's id.
@@ -45,7 +45,7 @@
 
 def on_withdrawal_requested(state: State, event: KeyWithdrawalAsked) -> Iterator[object]:
     """
-    Withdraw the key here, tell the peers, and want it in the log.
+    Withdraw the key here, propagate it to the peers, and request a record in the log.
     """
     name = key_name(event.workspace, event.key_id)
     if is_withdrawn(state, name):
@@ -56,14 +56,14 @@
 
 def on_heartbeat(state: State, event: PeerReceived) -> Iterator[object]:
     """
-    Take over what a peer tells of.
+    Merge the withdrawals of a peer's heartbeat.
     """
     heartbeat = event.message
     peer = state.membership.peers.get(event.sender.instance)
     if not isinstance(heartbeat, Heartbeat) or peer is None or peer.sender != event.sender:
         return
     peer.withdrawn_seen = max(peer.withdrawn_seen, heartbeat.withdrawn_seen)
-    # A peer leaves its withdrawals out only when it knows that they are here.
+    # A peer omits its withdrawals only when this instance has acknowledged them.
     peer.withdrawn_version = max(peer.withdrawn_version, heartbeat.withdrawn_version)
     for name in heartbeat.withdrawn:
         if not is_withdrawn(state, name):
@@ -72,7 +72,7 @@
 
 def on_folded(state: State, event: RecordFolded) -> Iterator[object]:
     """
-    Forget what the log now says itself.
+    Remove withdrawals that are now folded from the log.
     """
     if event.record.kind == KEY_WITHDRAWN:
         _remove_folded(state)
@@ -81,7 +81,7 @@
 
 def on_replaced(state: State, event: FoldReplaced) -> Iterator[object]:
     """
-    Forget what the log now says itself.
+    Remove withdrawals that are now folded from the log.
     """
     _remove_folded(state)
     return iter(())
@@ -89,7 +89,7 @@
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Append what its first instance has not.
+    Request records for withdrawals that have not appeared in the log in time.
     """
     if not state.freshness.withdrawn or not reads_log(state):
         return
@@ -102,11 +102,11 @@
 
 def unacknowledged_withdrawals(state: State, withdrawn_seen: int) -> tuple[str, ...]:
     """
-    Give the withdrawals for a peer.
+    Return the withdrawals that a peer has not acknowledged.
 
     :param state: the state.
-    :param withdrawn_seen: version of them that the peer has.
-    :returns: names of keys, none when the peer has them all.
+    :param withdrawn_seen: version of this instance's withdrawals that the peer has.
+    :returns: names of withdrawn keys, empty when the peer has them all.
     """
     freshness = state.freshness
     if freshness.version <= withdrawn_seen:
@@ -116,13 +116,13 @@
 
 def told_instances(state: State) -> int:
     """
-    Count the peers that are not gone and have every withdrawal of this instance.
+    Count the peers, other than dead or leaving ones, that have every withdrawal of this instance.
 
-    A peer in another zone counts once this instance has heard so from it, or once its whole zone
-    was in touch after the last withdrawal was heard of.
+    A peer counts once it has acknowledged them. A peer in another zone also counts once its zone
+    was reachable after the arrival of the last withdrawal.
 
     :param state: the state.
-    :returns: the count.
+    :returns: the number of peers.
     """
     return sum(
         _has_acknowledged(state, peer)
@@ -145,7 +145,7 @@
     freshness = state.freshness
     freshness.withdrawn[name] = state.now_s
     freshness.version += 1
-    # Heartbeats go out with the next tick.
+    # Makes heartbeats due at the next tick.
     state.membership.zone_heartbeats_sent_s = NEVER_S
     state.membership.relay_heartbeats_sent_s = NEVER_S
     yield WriteLog("key.withdrawn_ahead", {"key": name})
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins.py
@@ -1,5 +1,5 @@
 """
-Request ids that this instance has taken: repeats join the first, or get its outcome.
+Deduplication of requests by id: a repeat waits for the first request, or gets its outcome.
 """
 
 from collections.abc import Iterator
@@ -13,16 +13,16 @@
 from ._requests import Request
 from ._state import State
 
-# Bounds of what is kept for repeats, by each instance.
+# Limits per instance on the request ids and answers that are kept for repeats.
 MAX_KNOWN = 50_000
 MAX_KEPT_BYTES = 16 * 1024 * 1024
 FAILED_STATUS = 500
-OUTCOME_GONE = Refusal(_refusals.OUTCOME_UNKNOWN, None, "it has run; its answer is kept no more")
+OUTCOME_GONE = Refusal(_refusals.OUTCOME_UNKNOWN, None, "request has run; answer no longer kept")
 
 
 def is_full(state: State) -> bool:
     """
-    Tell whether no further request id can be remembered.
+    Return whether the table of known request ids is full.
 
     :param state: the state.
     :returns: whether the table is full.
@@ -32,7 +32,7 @@
 
 def join_duplicate(state: State, known: KnownRequest, event: RequestReceived) -> Iterator[object]:
     """
-    Let a repeat wait for the first request's outcome, or give it the outcome.
+    Answer a repeated request, or let it wait for the outcome of the first one.
 
     :param state: the open exchanges are changed in place.
     :param known: what is known of the request id.
@@ -43,7 +43,7 @@
         yield Refuse(event.token, Refusal(_refusals.REQUEST_CONFLICT))
     elif known.stage == OPEN:
         if not known.tokens and known.req is not None:
-            # The first caller has gone, and its body with it.
+            # The first caller has disconnected, so the repeat supplies the body.
             known.req.token = event.token
         _add_token(state, known, event.token, event.request_id)
     elif known.attempt:
@@ -54,7 +54,7 @@
 
 def remember(state: State, req: Request) -> KnownRequest:
     """
-    Note that this instance has taken a request.
+    Add a request that this instance has accepted to the known requests.
 
     :param state: the known requests are changed in place.
     :param req: the request.
@@ -68,11 +68,11 @@
 
 def abandon(state: State, token: int) -> Request | None:
     """
-    Forget an exchange whose caller is gone.
+    Remove an exchange whose caller has disconnected.
 
     :param state: the known requests are changed in place.
     :param token: the exchange.
-    :returns: its request when no other caller waits for it, else ``None``.
+    :returns: its request when no other caller waits for it, otherwise ``None``.
     """
     state.requests.open_tokens.pop(token, None)
     key = state.joins.by_token.pop(token, None)
@@ -88,7 +88,7 @@
 
 def is_waited_for(state: State, req: Request) -> bool:
     """
-    Tell whether some caller waits for a request.
+    Return whether any caller still waits for a request.
 
     :param state: the state.
     :param req: an open request.
@@ -101,13 +101,13 @@
     state: State, req: Request, attempt: str, status: int, size_bytes: int
 ) -> Iterator[object]:
     """
-    Give an answer to all exchanges of a request, and keep it for repeats.
+    Send an answer to all exchanges of a request, and keep it for repeats.
 
     :param state: the known requests are changed in place.
     :param req: the request.
-    :param attempt: the attempt that was answered.
+    :param attempt: id of the attempt that was answered.
     :param status: HTTP status of the answer.
-    :param size_bytes: length of the answer.
+    :param size_bytes: size of the answer.
     :returns: effects.
     """
     known = state.joins.known[req.key]
@@ -132,7 +132,7 @@
 
     :param state: the known requests are changed in place.
     :param req: the request.
-    :param refusal: why; when it says that nothing ran, the request may come again anywhere.
+    :param refusal: why; when it says that nothing ran, any instance may accept the request again.
     :returns: effects.
     """
     known = state.joins.known[req.key]
@@ -149,7 +149,7 @@
 
 def refuse_unclaimed(state: State, req: Request, refusal: Refusal) -> Iterator[object]:
     """
-    Refuse all exchanges of a request whose claim was not granted, and forget it.
+    Refuse all exchanges of a request whose claim was not granted, and remove the request.
 
     :param state: the known requests are changed in place.
     :param req: the request.
@@ -163,7 +163,7 @@
 
 def forget(state: State, req: Request) -> Iterator[object]:
     """
-    Forget a request that certainly did not run.
+    Remove a request that certainly did not run, and release its claim.
 
     :param state: the known requests are changed in place.
     :param req: the request.
@@ -176,7 +176,7 @@
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Forget requests that ended long ago.
+    Remove ended requests whose retention has expired.
     """
     ended = state.joins.ended
     while ended and ended[0].expires_s <= state.now_s:
@@ -204,7 +204,8 @@
     for token in tokens:
         state.joins.by_token.pop(token, None)
         state.requests.open_tokens.pop(token, None)
-    # Later than the end of the claim would be too long, sooner would let the request run again.
+    # Expires with the claim: an earlier removal would let the request run again, and a later one
+    # keeps it for longer than needed.
     known.expires_s = max(state.now_s, req.deadline_s) + _joins_claims.OUTCOME_RETENTION_S
     state.joins.ended.append(EndedRequest(req.key, known.expires_s))
     return tokens
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_claims.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_claims.py
@@ -1,5 +1,5 @@
 """
-Claims of this instance: the sole right to run a non-idempotent request.
+Claims of this instance: the exclusive right to run a non-idempotent request.
 """
 
 from collections.abc import Iterator
@@ -15,7 +15,7 @@
 from ._requests import Request
 from ._state import State
 
-# An outcome is kept for this time after the caller's deadline.
+# Time after the caller's deadline for which an outcome is kept.
 OUTCOME_RETENTION_S = 60.0
 RESEND_S = 0.2
 HELD_RETRY_S = 1.0
@@ -24,11 +24,11 @@
 
 def request_claim(state: State, req: Request) -> Iterator[object]:
     """
-    Ask the voters of a request's id for the right to run it.
+    Ask the voters of a request id for the exclusive right to run the request.
 
     :param state: the pending claims are changed in place.
     :param req: the request.
-    :returns: effects; one of them emits `RequestClaimed` or, now or later, `ClaimLost`.
+    :returns: effects; `RequestClaimed` or `ClaimLost` is emitted by one of them or later.
     """
     joins = state.joins
     number = joins.next_number
@@ -46,7 +46,7 @@
 
     :param state: the claims are changed in place.
     :param key: hash of the request's id.
-    :param number: this instance's number of the claim.
+    :param number: this instance's number for the claim.
     :returns: messages to the voters.
     """
     state.joins.pending.pop(number, None)
@@ -58,7 +58,7 @@
 
 def on_peer(state: State, event: PeerReceived) -> Iterator[object]:
     """
-    Count a vote.
+    Count a vote on a pending claim.
     """
     if not isinstance(event.message, ClaimVoted):
         return
@@ -70,7 +70,7 @@
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Ask voters that have not answered once more, or give up.
+    Ask voters that have not granted a claim again, or let it fail after the timeout.
     """
     for pending in list(state.joins.pending.values()):
         if pending.give_up_s <= state.now_s:
@@ -99,7 +99,7 @@
 def _count_vote(
     state: State, pending: PendingClaim, voter: str, voted: ClaimVoted
 ) -> Iterator[object]:
-    # After a pause of this process a late majority may rest on votes that were lost since.
+    # After a pause of this process, a late majority may rest on votes that have since been lost.
     if pending.give_up_s <= state.now_s:
         return
     (pending.granted if voted.granted else pending.denied).add(voter)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_events.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_events.py
@@ -1,5 +1,5 @@
 """
-Events about request ids that the reducer tells itself.
+Events about request ids that the reducer emits to itself.
 """
 
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 class RequestClaimed(NamedTuple):
     """
-    This instance alone may run a request.
+    This instance has the exclusive right to run a request.
 
     :param req: the request.
     """
@@ -20,10 +20,10 @@
 
 class ClaimLost(NamedTuple):
     """
-    This instance may not run a request.
+    This instance was not granted the right to run a request.
 
     :param req: the request.
-    :param refusal: what its callers are told.
+    :param refusal: the refusal that its callers get.
     """
 
     req: Request
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_messages.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_messages.py
@@ -1,5 +1,5 @@
 """
-Messages between entry instances about request ids.
+Messages between entry instances about claims of request ids.
 """
 
 from typing import NamedTuple
@@ -10,12 +10,12 @@
 @register_message
 class ClaimWanted(NamedTuple):
     """
-    The sender asks for the sole right to run a request.
+    The sender asks for the exclusive right to run a request.
 
     :param key: hash of the request's id.
-    :param number: the sender's number of the claim.
+    :param number: the sender's number for the claim.
     :param body_hash: hash of the request's body.
-    :param keep_s: seconds for which the claim is to be kept.
+    :param keep_s: seconds for which the voter has to keep the claim.
     """
 
     key: int
@@ -29,10 +29,10 @@
     """
     The sender's vote on a claim.
 
-    :param number: the receiver's number of the claim.
-    :param granted: whether the sender promises the request to the receiver alone.
-    :param holder: instance that the request was promised to before, or empty.
-    :param conflict: whether the promised request has another body.
+    :param number: the receiver's number for the claim.
+    :param granted: whether the sender grants the receiver the exclusive right.
+    :param holder: instance that already holds the claim, or empty.
+    :param conflict: whether the request of that instance has another body.
     """
 
     number: int
@@ -44,10 +44,10 @@
 @register_message
 class ClaimReleased(NamedTuple):
     """
-    The sender gives up a claim under which nothing ran.
+    The sender releases a claim under which nothing ran.
 
     :param key: hash of the request's id.
-    :param number: the sender's number of the claim.
+    :param number: the sender's number for the claim.
     """
 
     key: int
@@ -57,9 +57,9 @@
 @register_message
 class ClaimsWanted(NamedTuple):
     """
-    The sender has just started and asks for the claims that it may have voted for.
+    The sender has just started and asks for the claims that it may have granted before.
 
-    :param from_key: lowest key wanted.
+    :param from_key: lowest key requested.
     """
 
     from_key: int
@@ -67,14 +67,14 @@
 
 class ClaimSnapshot(NamedTuple):
     """
-    A claim as told to another instance.
+    A claim as reported to another instance.
 
     :param key: hash of the request's id.
-    :param instance: instance of the holder.
+    :param instance: id of the holder.
     :param incarnation: incarnation of the holder.
-    :param number: the holder's number of the claim.
+    :param number: the holder's number for the claim.
     :param body_hash: hash of the request's body.
-    :param remaining_s: seconds for which the claim is still to be kept.
+    :param remaining_s: seconds until the claim expires.
     """
 
     key: int
@@ -88,13 +88,13 @@
 @register_message
 class ClaimsTold(NamedTuple):
     """
-    Some of the sender's claims, in the order of their keys.
+    One page of the sender's claims, in the order of their keys.
 
-    :param from_key: lowest key that was wanted.
-    :param next_key: lowest key of the next part, or ``None`` when there is none.
-    :param complete: whether the sender's own memory is whole.
-    :param cold_start: whether it became whole because all voters, the receiver's incarnation among
-        them, were starting together.
+    :param from_key: lowest key that was requested.
+    :param next_key: lowest key of the next page, or ``None`` after the last one.
+    :param complete: whether the sender knows each claim that it may have granted.
+    :param cold_start: whether the sender counts as complete only because all voters were starting
+        at the same time, among them the receiver's current incarnation.
     :param claims: the claims.
     """
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_state.py
@@ -1,5 +1,5 @@
 """
-State of what is known about request ids: here, and for other instances.
+State of the request ids known here and of the claims granted to entry instances.
 """
 
 from collections import OrderedDict, deque
@@ -18,7 +18,7 @@
 
 class Holder(NamedTuple):
     """
-    The entry instance that alone may run a request.
+    The entry instance with the exclusive right to run a request.
 
     :param instance: its id.
     :param incarnation: its incarnation.
@@ -30,12 +30,12 @@
 
 class Claim(msgspec.Struct):
     """
-    A voter's promise that only one holder runs a request.
+    A voter's grant of the exclusive right to run a request.
 
-    :param holder: who may run it.
-    :param number: the holder's number of the claim.
+    :param holder: the instance that may run it.
+    :param number: the holder's number for the claim.
     :param body_hash: hash of the request's body.
-    :param expires_s: time at which the promise ends.
+    :param expires_s: time at which the grant expires.
     """
 
     holder: Holder
@@ -49,10 +49,10 @@
     A claim of this instance that is not yet granted.
 
     :param key: hash of the request's id.
-    :param number: this instance's number of the claim.
+    :param number: this instance's number for the claim.
     :param req: the request.
-    :param granted: voters that granted it.
-    :param denied: voters that did not.
+    :param granted: voters that have granted it.
+    :param denied: voters that have denied it.
     :param give_up_s: time at which the request is refused.
     :param resend_s: time at which the voters are asked again.
     """
@@ -68,17 +68,17 @@
 
 class KnownRequest(msgspec.Struct):
     """
-    One request id that this instance has taken.
+    One request id that this instance has accepted.
 
     :param body_hash: hash of its body.
     :param idempotent: whether running it twice does no harm.
     :param req: the request while it is open.
-    :param tokens: exchanges that wait for its outcome, the one whose body is sent first.
+    :param tokens: exchanges that wait for its outcome; the body of the first one is sent.
     :param stage: whether it is open, answered, or failed with an unknown outcome.
-    :param attempt: attempt whose answer is kept, or empty.
-    :param size_bytes: length of the kept answer.
-    :param refusal: what the callers were told when it failed.
-    :param expires_s: time at which it is forgotten; only ended requests are.
+    :param attempt: id of the attempt whose answer is kept, or empty.
+    :param size_bytes: size of the kept answer.
+    :param refusal: the refusal that the callers got when it failed.
+    :param expires_s: time at which it is removed, if it has ended.
     :param claim: number of this instance's claim, or 0 when there is none.
     """
 
@@ -96,10 +96,10 @@
 
 class EndedRequest(NamedTuple):
     """
-    When to forget a request.
+    When to remove an ended request.
 
     :param key: hash of its id.
-    :param expires_s: time.
+    :param expires_s: time at which it is removed.
     """
 
     key: int
@@ -110,8 +110,8 @@
     """
     Entry instances from which voters are chosen.
 
-    :param members: their ids with their zones, sorted.
-    :param until_s: time until which claims made under it may be in force.
+    :param members: ids and zones of the instances, sorted.
+    :param until_s: time until which claims granted under it may be in force.
     """
 
     members: tuple[tuple[str, str], ...]
@@ -120,29 +120,29 @@
 
 class JoinState(msgspec.Struct):
     """
-    Request ids here, claims in which this instance has a vote, and the voters.
+    Request ids known here, claims on which this instance has voted, and the voters.
 
-    :param known: request ids that this instance has taken.
+    :param known: request ids that this instance has accepted, by hash.
     :param by_token: key of the request that each open exchange waits for.
-    :param ended: those whose outcome is known, in the order of their end.
-    :param kept_answers: attempts whose answers are kept, oldest first.
-    :param kept_bytes: length of all kept answers.
-    :param claims: claims in which this instance voted.
-    :param holders: holders of claims, by id and incarnation.
-    :param pending: own claims that are not yet granted, by number.
-    :param next_number: number of the next own claim.
-    :param rosters: rosters under which claims may be in force; the last one is current.
+    :param ended: requests whose outcome is known, in the order in which they ended.
+    :param kept_answers: key of the request by attempt whose answer is kept, oldest first.
+    :param kept_bytes: total size of the kept answers.
+    :param claims: claims that this instance has granted, by key.
+    :param holders: interned holders of claims, by id and incarnation.
+    :param pending: claims of this instance that are not yet granted, by number.
+    :param next_number: number of this instance's next claim.
+    :param rosters: rosters under which claims may be in force; the last one is the current one.
     :param addresses: peer address of each entry instance.
-    :param listed_s: time at which each entry instance was last listed.
-    :param first_roster: members known at the start, which recovery asks.
-    :param recovery_starts_s: time from which others are asked for their claims.
-    :param recovery_ends_s: time after which no claim from before the start is in force.
-    :param recovery_asked_s: time at which others were last asked for claims.
-    :param next_keys: first key that each instance is to be asked for next.
-    :param recovered: instances with whole memories that told all their claims.
-    :param starting: incarnations of instances that were recovering themselves, by id.
-    :param is_cold_start: whether this instance became whole because all others were starting too.
-    :param complete: whether this instance knows each claim that it may have voted for.
+    :param listed_s: time at which each entry instance last was in the instance list.
+    :param first_roster: members of the first roster, of which recovery asks the co-voters.
+    :param recovery_starts_s: time from which peers are asked for their claims.
+    :param recovery_ends_s: time after which no claim from before the start is still in force.
+    :param recovery_asked_s: time at which peers were last asked for their claims.
+    :param next_keys: first key to request next from each instance.
+    :param recovered: instances that know all their claims and have reported all of them.
+    :param starting: incarnations of instances that were themselves recovering, by id.
+    :param is_cold_start: whether recovery ended because all other voters were starting too.
+    :param complete: whether this instance knows each claim that it may have granted.
     :param swept_s: time at which expired entries were last removed.
     """
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_voters.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_voters.py
@@ -1,9 +1,9 @@
 """
-Which entry instances vote on a request id.
+Selection of the entry instances that vote on a request id.
 
-Each id has up to three voters, chosen by rendezvous hashing, in one zone where it has that many.
-Two claims on an id meet in at least one voter, because each needs a majority. While instances
-may see different lists, a claim needs a majority under the old and the new list.
+Each id has up to three voters, chosen by rendezvous hashing, all of them in one zone if it has that
+many instances. Each claim needs a majority, so two claims on the same id share at least one voter.
+While instances may see different lists, a claim needs a majority under the old and the new list.
 """
 
 from collections import Counter
@@ -16,25 +16,26 @@
 from ._state import State
 
 VOTERS = 3
-# An instance that is restarted under the same id stays a voter while the list leaves it out.
+# Keeps an instance as a voter while it restarts under the same id and is missing from the list.
 UNLISTED_RETENTION_S = 30.0
-# Claims are never kept for longer than this time.
+# Maximum lifetime of a claim.
 MAX_CLAIM_S = 300.0
-# A claim that has no majority after this time is given up.
+# Time after which a claim without a majority fails.
 CLAIM_TIMEOUT_S = 1.0
-# Longer than a claim stays undecided, so that recovery sees all claims with an old vote.
+# Longer than CLAIM_TIMEOUT_S, so that recovery sees each claim that counts a vote from before the
+# restart.
 RECOVERY_WAIT_S = 1.2
-# An id such as ``a.4711`` has its voters in zone ``a``.
+# The voters of an id such as ``a.4711`` are in zone ``a``.
 ZONE_SEPARATOR = "."
 
 
 def hash_request(team: str, request_id: str) -> int:
     """
-    Give the key under which instances speak of a request id.
+    Return the hash that identifies a request id among instances.
 
-    :param team: ``WORKSPACE/TEAM``, so that teams cannot meet each other's ids.
+    :param team: ``WORKSPACE/TEAM``, so that equal ids of different teams don't collide.
     :param request_id: the caller's id.
-    :returns: a number of 63 bits, whose lowest byte depends on the zone that the id names.
+    :returns: 63-bit hash; when the id names a zone, its lowest byte is a hash of the zone.
     """
     zone, separator, _ = request_id.partition(ZONE_SEPARATOR)
     digest = xxhash.xxh3_64_intdigest(f"{team} {request_id}".encode()) >> 1
@@ -45,11 +46,11 @@
 
 def voters(roster: Roster, key: int) -> tuple[str, ...]:
     """
-    Give the voters of a key.
+    Return the voters of a key.
 
     :param roster: the entry instances.
     :param key: hash of the request's id.
-    :returns: ids of up to `VOTERS` instances.
+    :returns: ids of up to `VOTERS` instances, first choice first.
     """
     zones = sorted({zone for _, zone in roster.members})
     marked = [zone for zone in zones if _zone_byte(zone) == key & 0xFF]
@@ -64,9 +65,9 @@
 
 def all_voters(joins: JoinState, key: int) -> set[str]:
     """
-    Give the voters of a key under every list that may be in use.
+    Return the voters of a key under all rosters that may be in use.
 
-    :param joins: what is known about voters.
+    :param joins: the rosters.
     :param key: hash of the request's id.
     :returns: ids of instances.
     """
@@ -75,12 +76,12 @@
 
 def has_majority(joins: JoinState, key: int, granted: set[str]) -> bool:
     """
-    Tell whether a claim holds.
+    Return whether a claim has a majority.
 
-    :param joins: what is known about voters.
+    :param joins: the rosters.
     :param key: hash of the request's id.
-    :param granted: voters that granted it.
-    :returns: whether they are a majority under every list that may be in use.
+    :param granted: voters that have granted it.
+    :returns: whether they are a majority under each roster that may be in use.
     """
     groups = [voters(roster, key) for roster in joins.rosters]
     return bool(groups) and all(
@@ -90,9 +91,9 @@
 
 def co_voters(joins: JoinState, own: str) -> set[str]:
     """
-    Give the other instances that may have voted for the same ids as this one.
+    Return the other instances that may have voted on the same ids as this one.
 
-    :param joins: what is known about voters.
+    :param joins: the first roster.
     :param own: id of this instance.
     :returns: ids of instances.
     """
@@ -105,7 +106,7 @@
 
 def update_rosters(state: State, listed: Iterable[ListedInstance]) -> None:
     """
-    Take over the platform's list, which lags.
+    Update the rosters from the platform's instance list, which may be stale.
 
     :param state: the rosters are changed in place.
     :param listed: all instances of the list.
@@ -140,7 +141,7 @@
 
 def drop_expired_rosters(state: State) -> None:
     """
-    Forget rosters under which no claim is in force any more.
+    Remove rosters under which no claim can be in force any more.
 
     :param state: the rosters are changed in place.
     """
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_votes.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_votes.py
@@ -1,9 +1,9 @@
 """
-Votes on claims of request ids, and their recovery after a start.
+Votes on claims of request ids, and recovery of granted claims after a start.
 
-A vote is a promise kept in memory only. An instance that has just started may have promised
-something before, so it votes on nothing until others have told it all the claims that it may
-have voted for. Its votes count anew only after the claims of before are decided.
+Granted claims are kept in memory only. An instance that has just started may have granted claims
+before, so it does not vote until peers have reported all claims that it may have granted. It asks
+them only after the claims that were pending at its start are decided.
 """
 
 from bisect import bisect_left
@@ -32,7 +32,7 @@
 
 def on_listed(state: State, event: InstancesListed) -> Iterator[object]:
     """
-    Take over who may vote.
+    Update the voters from the instance list.
     """
     _joins_voters.update_rosters(state, event.instances)
     yield from _check_recovered(state)
@@ -40,7 +40,7 @@
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Go on with the recovery, and forget what has expired.
+    Continue the recovery, and remove what has expired.
     """
     joins = state.joins
     yield from _check_recovered(state)
@@ -56,7 +56,7 @@
 
 def on_peer(state: State, event: PeerReceived) -> Iterator[object]:
     """
-    Vote on a claim, release one, or pass claims on to an instance that has just started.
+    Vote on a claim, release one, or exchange claims during recovery.
     """
     message = event.message
     address = state.joins.addresses.get(event.sender.instance, "")
@@ -72,10 +72,10 @@
 
 def vote(state: State, sender: Sender, wanted: ClaimWanted) -> ClaimVoted:
     """
-    Promise a request to an instance, unless it is promised to another.
+    Grant an instance's claim, unless another instance holds it.
 
     :param state: the claims are changed in place.
-    :param sender: the instance.
+    :param sender: the instance that claims the request.
     :param wanted: its claim.
     :returns: the vote.
     """
@@ -92,11 +92,11 @@
 
 def release(joins: JoinState, sender: Sender, released: ClaimReleased) -> None:
     """
-    Take back a promise whose holder has run nothing.
+    Remove a claim whose holder has not run the request.
 
     :param joins: the claims are changed in place.
     :param sender: the holder.
-    :param released: which promise.
+    :param released: identifies the claim.
     """
     claim = joins.claims.get(released.key)
     if claim is None or claim.number != released.number:
@@ -106,7 +106,7 @@
 
 
 def _intern_holder(joins: JoinState, holder: Holder) -> Holder:
-    # One object for all claims of a holder saves memory.
+    # Saves memory: all claims of a holder share one object.
     return joins.holders.setdefault(holder.instance, {}).setdefault(holder.incarnation, holder)
 
 
@@ -115,7 +115,7 @@
     if joins.complete or not joins.rosters:
         return
     others = _joins_voters.co_voters(joins, state.identity.sender.instance)
-    # When all others are starting too, there is no memory left that could be waited for.
+    # When all other voters are starting too, no instance is left that could know older claims.
     is_cold_start = others <= joins.starting.keys() and not joins.recovered & others
     if is_cold_start or others <= joins.recovered or joins.recovery_ends_s <= state.now_s:
         joins.complete = True
@@ -155,7 +155,7 @@
 def _merge_claims(state: State, sender: Sender, told: ClaimsTold) -> Iterator[object]:
     joins = state.joins
     address = joins.addresses.get(sender.instance)
-    # Whoever is not listed yet is asked again once it is.
+    # An instance that is not in the list yet is asked again once it is listed.
     if (
         joins.complete
         or address is None
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_log_follower.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_log_follower.py
@@ -1,5 +1,5 @@
 """
-Follows the control stream and folds its records.
+Reads the control stream continuously and folds its records.
 """
 
 from collections.abc import Iterator
@@ -23,7 +23,7 @@
 from ._records import Record, StoredRecord
 from ._state import Fold, State
 
-# Bounds of the records that are kept for peers.
+# Limits on the folded records that are kept for peers.
 TAIL_RECORDS = 2000
 TAIL_BYTES = 4 * 1024 * 1024
 
@@ -48,7 +48,7 @@
 
 def on_started(state: State, event: Started) -> Iterator[object]:
     """
-    Seed the random choices; reading begins once it is known where.
+    Seed the random generator; reading starts with `FollowLog`, once the start offset is known.
     """
     state.rng.seed(event.seed)
     return iter(())
@@ -56,7 +56,7 @@
 
 def on_follow(state: State, event: FollowLog) -> Iterator[object]:
     """
-    Read the log from the fold's offset on, unless a read is awaited already.
+    Start reading the log at the fold's next offset, unless a read is already pending.
     """
     if not state.log.reading:
         yield _read(state)
@@ -64,7 +64,7 @@
 
 def on_log_read(state: State, event: LogRead) -> Iterator[object]:
     """
-    Fold what was read, and read on.
+    Fold the records that were read, and continue reading.
     """
     log = state.log
     issued_s = log.read_issued_s
@@ -83,7 +83,7 @@
 
 def on_log_unavailable(state: State, event: LogUnavailable) -> Iterator[object]:
     """
-    Try again later.
+    Retry the read after a delay.
     """
     if state.log.available:
         yield WriteLog("log.unavailable", {"reason": event.reason})
@@ -93,7 +93,7 @@
 
 def on_log_truncated(state: State, event: LogTruncated) -> Iterator[object]:
     """
-    Say that records are missing; this instance is unready until its fold is whole again.
+    Report that records are missing; this instance is not ready until its fold is complete again.
     """
     log = state.log
     log.reading = False
@@ -101,7 +101,7 @@
     log.head = max(log.head, event.head)
     log.first = max(log.first, event.first)
     if state.fold.position.next_offset >= event.first:
-        # Records came from a peer while the read was under way.
+        # A peer has supplied the records while the read was pending.
         yield _read(state)
         return
     log.caught_up = False
@@ -111,11 +111,11 @@
 
 def fold_stored(state: State, stored: StoredRecord) -> Iterator[object]:
     """
-    Fold one record, from the log or from a peer, unless it is folded already.
+    Fold one record from the log or from a peer, if it is the next one.
 
     :param state: the state.
-    :param stored: the record; one that is not the next offset is left alone.
-    :returns: effects that tell the domains.
+    :param stored: the record; it is ignored when it is not at the next offset.
+    :returns: effects that notify the domains.
     """
     if stored.offset != state.fold.position.next_offset:
         return
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_log_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_log_state.py
@@ -1,5 +1,5 @@
 """
-State of this instance's dealings with the log service.
+State of this instance's reads from and appends to the log service.
 """
 
 from collections import deque
@@ -18,9 +18,9 @@
 
 class LogReached(NamedTuple):
     """
-    Everything that was in the log at some moment is folded.
+    All records that the log held at a certain time are folded.
 
-    :param as_of_s: that moment.
+    :param as_of_s: that time.
     """
 
     as_of_s: float
@@ -28,21 +28,21 @@
 
 class FollowLog(NamedTuple):
     """
-    The fold is whole up to some offset: read the log from there on.
+    The fold is complete up to its offset: read the log from there.
     """
 
 
 class FoldReplaced(NamedTuple):
     """
-    The fold was replaced by a snapshot; no ``RecordFolded`` tells of what it holds.
+    The fold was replaced by a snapshot; there is no ``RecordFolded`` for the records in it.
     """
 
 
 class SnapshotNeeded(NamedTuple):
     """
-    Records between the fold and the log's oldest record are gone.
+    The log no longer holds the records that follow the fold.
 
-    :param reason: how it was noticed.
+    :param reason: how this was detected.
     """
 
     reason: str
@@ -52,12 +52,12 @@
     """
     This instance's view of the log service.
 
-    :param head: newest offset seen.
-    :param first: oldest offset that the log keeps, as last seen.
-    :param caught_up: whether the fold is whole: it has reached the head, or a whole peer.
+    :param head: newest known offset.
+    :param first: oldest offset that the log keeps, as last reported.
+    :param caught_up: whether the fold has caught up with the log's head, or with a peer that had.
     :param available: whether the last read was answered.
-    :param reading: whether a read is awaited or scheduled.
-    :param read_issued_s: time of the read that is awaited.
+    :param reading: whether a read is pending or scheduled.
+    :param read_issued_s: time at which the pending read was issued.
     :param answered_s: time of the last answer to a read, or -1.
     """
 
@@ -72,10 +72,10 @@
 
 class TailRecord(NamedTuple):
     """
-    A folded record that peers may ask for.
+    A folded record that peers may request.
 
     :param stored: the record.
-    :param size_bytes: its length when encoded.
+    :param size_bytes: its encoded size.
     """
 
     stored: StoredRecord
@@ -84,7 +84,7 @@
 
 class LogTail(msgspec.Struct):
     """
-    The newest records that were folded, oldest first.
+    The most recently folded records, oldest first.
     """
 
     records: deque[TailRecord] = msgspec.field(default_factory=deque)
@@ -93,12 +93,12 @@
 
 class OutboxLane(msgspec.Struct):
     """
-    Records that are appended in their order, under one writer's name.
+    Records of one priority, which are appended in order under one writer name.
 
-    :param waiting: records not yet appended.
+    :param waiting: records that are not yet appended.
     :param in_flight: the batch that is not yet known to be in the log.
-    :param uncertain_since_s: time since which the batch may or may not be in the log, or -1.
-    :param next_sequence: sequence of the next record.
+    :param uncertain_since_s: time since when it is unknown whether the batch is in the log, or -1.
+    :param next_sequence: sequence number of the next record.
     """
 
     waiting: deque[Record] = msgspec.field(default_factory=deque)
@@ -109,16 +109,16 @@
 
 class Outbox(msgspec.Struct):
     """
-    Records not yet known to be in the log.
+    Records that are not yet known to be in the log.
 
-    :param lanes: lanes in the order of their priority.
-    :param sending: lane whose answer is awaited, or empty.
-    :param quota_records: records that may be appended now.
-    :param refilled_s: time at which the room was last worked out.
-    :param not_before_s: time before which nothing is appended, after a failure.
-    :param failures: failures in a row.
+    :param lanes: lanes in order of priority.
+    :param sending: lane whose append is pending, or empty.
+    :param quota_records: records that the rate limit allows now.
+    :param refilled_s: time at which the quota was last updated.
+    :param not_before_s: end of the backoff after a failed append.
+    :param failures: consecutive failed appends.
     :param appended: records appended since the start, repeats included.
-    :param repeated: records appended more than once.
+    :param repeated: records that were appended again.
     """
 
     lanes: dict[Lane, OutboxLane] = msgspec.field(
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership.py
@@ -1,11 +1,11 @@
 """
-Membership: which entry instances there are, which of them live, and who relays between zones.
+Membership: the known entry instances, their liveness, and the relays between zones.
 
-Inside a zone every instance sends heartbeats to every other. Between two zones only instances
-chosen by rendezvous hashing do, and the choice differs from zone to zone, so the work of one
-instance falls as its zone grows. An instance is suspected before it counts as dead, and counts
-as dead only when no other instance of the zone hears it. Liveness is a hint for choices; no
-promise to callers rests on it.
+Within a zone each instance sends heartbeats to all others. Between two zones only the relays do:
+instances chosen by rendezvous hashing. The choice differs by zone, so the load per instance falls
+as its zone grows. An instance is suspect before it counts as dead, and it counts as dead only when
+no other instance of the zone receives its heartbeats. Liveness is only a hint for decisions; no
+guarantee to callers depends on it.
 """
 
 from collections.abc import Iterable
@@ -30,20 +30,20 @@
 
 SUSPECT_AFTER_S = 2.0
 DEAD_AFTER_S = 6.0
-# Silent, unlisted instances are forgotten after this time.
+# Time after which a silent instance that is not in the platform's list is removed.
 FORGET_AFTER_S = 30.0
 ZONE_REACHABLE_S = 5.0
-# Both zones of a pair choose relays, so every pair has twice as many paths.
+# Both zones of a pair choose relays, so each pair of zones has twice as many paths.
 RELAYS_PER_ZONE_PAIR = 2
 PAUSE_THRESHOLD_S = 1.0
 
 
 def members(state: State) -> tuple[Member, ...]:
     """
-    Give all other entry instances known here.
+    Return all other known entry instances.
 
     :param state: the state.
-    :returns: the instances in the order of their ids.
+    :returns: the instances, sorted by id.
     """
     peers = state.membership.peers
     return tuple(_to_member(peers[instance]) for instance in sorted(peers))
@@ -51,10 +51,10 @@
 
 def zone_peers(state: State) -> tuple[Member, ...]:
     """
-    Give the other entry instances of the own zone that are not dead.
+    Return the other entry instances of the local zone that are not dead.
 
     :param state: the state.
-    :returns: the instances in the order of their ids.
+    :returns: the instances, sorted by id.
     """
     zone = state.identity.sender.zone
     peers = state.membership.peers
@@ -64,7 +64,7 @@
 
 def reachable_zones(state: State) -> frozenset[str]:
     """
-    Give the zones that are in touch, directly or over relays; the own zone is one of them.
+    Return the zones that are reachable, directly or through relays, including the local zone.
 
     :param state: the state.
     :returns: names of zones.
@@ -76,7 +76,7 @@
 
 def known_zones(state: State) -> frozenset[str]:
     """
-    Give every zone that has an entry instance that is not known to be dead or leaving.
+    Return the zones with an entry instance that is not known to be dead or leaving.
 
     :param state: the state.
     :returns: names of zones.
@@ -89,7 +89,7 @@
 
 def relayed_zones(state: State) -> tuple[str, ...]:
     """
-    Give the other zones to which this instance relays for its own zone.
+    Return the other zones for which this instance is a relay of the local zone.
 
     :param state: the state.
     :returns: names of zones, sorted.
@@ -102,21 +102,21 @@
 
 def is_relay(state: State) -> bool:
     """
-    Tell whether this instance relays between its zone and another.
+    Return whether this instance is a relay between its zone and another one.
 
     :param state: the state.
-    :returns: whether it does.
+    :returns: whether it is a relay.
     """
     return bool(relayed_zones(state))
 
 
 def relays(state: State, zone: str) -> tuple[Sender, ...]:
     """
-    Give the instances of the own zone that relay to another zone, first choice first.
+    Return the local zone's relays to another zone, first choice first.
 
     :param state: the state.
     :param zone: the other zone.
-    :returns: up to `RELAYS_PER_ZONE_PAIR` instances; none for the own zone.
+    :returns: up to `RELAYS_PER_ZONE_PAIR` instances; none for the local zone.
     """
     if zone == state.identity.sender.zone:
         return ()
@@ -127,7 +127,7 @@
     """
     Order instances by rendezvous hashing.
 
-    :param purpose: what they are chosen for.
+    :param purpose: what they are chosen for, which is part of the hash.
     :param senders: the candidates.
     :returns: the candidates, first choice first.
     """
@@ -136,10 +136,10 @@
 
 def pause_s(state: State) -> float:
     """
-    Give the time since the last tick, which is long when the process has just been paused.
+    Return the time since the last tick, which is long right after a pause of the process.
 
     :param state: the state.
-    :returns: seconds.
+    :returns: seconds, 0 before the first tick.
     """
     tick_s = state.membership.tick_s
     return 0.0 if tick_s == NEVER_S else state.now_s - tick_s
@@ -149,12 +149,12 @@
     membership: MembershipState, own: Sender, listed: Iterable[ListedInstance], now_s: float
 ) -> None:
     """
-    Take over the platform's list, which lags.
+    Update the peers from the platform's instance list, which may be stale.
 
     :param membership: changed in place.
-    :param own: this instance, which is left out.
+    :param own: this instance, which is skipped.
     :param listed: all instances of the list.
-    :param now_s: time.
+    :param now_s: current time.
     """
     entries = {item.id: item for item in listed if item.role == "entry" and item.peer_address}
     entries.pop(own.instance, None)
@@ -168,7 +168,7 @@
 
 def update_liveness(state: State) -> tuple[Member, ...]:
     """
-    Work out anew which instances are suspect or dead.
+    Update the liveness of all peers.
 
     :param state: the membership is changed in place.
     :returns: the instances whose state has changed.
@@ -211,7 +211,8 @@
 
 
 def _assess_remote_liveness(state: State, peer: Peer) -> str:
-    # Only its own zone can tell that a remote instance is dead; a silent zone proves nothing.
+    # Only instances of its own zone can detect that a remote instance is dead; a zone that sends
+    # nothing may merely be unreachable.
     if peer.state in (DEAD, LEAVING):
         return peer.state
     zone_s = state.membership.zones.get(peer.sender.zone, NEVER_S)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_aggregates.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_aggregates.py
@@ -1,9 +1,9 @@
 """
-Numbers that entry instances tell each other on their heartbeats, such as each team's demand.
+Aggregate values that entry instances exchange on heartbeats, such as each team's demand.
 
-A domain registers a provider of its own numbers. An instance tells its numbers to its zone, and
-relays tell the sums of their zone to other zones. Only changed numbers are sent, oldest change
-first, and at most so many a second: with more numbers their age grows, not the traffic.
+A domain registers a provider of its values. An instance sends its values to its zone, and relays
+send the sums of their zone to other zones. Only changed values are sent, the oldest change first,
+and at a limited rate: with more values their age grows, not the traffic.
 """
 
 from collections.abc import Callable, Mapping
@@ -20,15 +20,15 @@
 
 Provider = Callable[[Any], Mapping[str, int]]
 
-# Numbers that an instance sends to all instances of its zone together.
+# Limit on the values that an instance sends to all instances of its zone together.
 ZONE_VALUES_PER_S = 300
-# Numbers that a relay sends to all other zones together.
+# Limit on the values that a relay sends to all other zones together.
 RELAY_VALUES_PER_S = 150
-# Numbers that have changed by less than this share are not sent again.
+# A value is not sent again when it has changed by no more than this ratio.
 MIN_CHANGE_RATIO = 0.1
-# A peer is sent everything again after this time, since messages can be lost.
+# All values are sent to a peer again after this time, because messages can be lost.
 FULL_RESEND_INTERVAL_S = 30.0
-# Numbers of an origin that was not heard for this time no longer count.
+# Values of an origin that was not seen for this time are ignored.
 VALID_S = 10.0
 
 PROVIDERS: dict[str, Provider] = {}
@@ -36,22 +36,22 @@
 
 def register_aggregate(name: str, provide: Provider) -> None:
     """
-    Let a domain's numbers ride on the heartbeats.
+    Register a provider of values that are exchanged on heartbeats.
 
-    :param name: name of the aggregate, the same in every version of the program.
-    :param provide: gives this instance's numbers, none negative, by their names.
+    :param name: name of the aggregate, which must not change between versions.
+    :param provide: returns this instance's non-negative values by name.
     """
     PROVIDERS[name] = provide
 
 
 def fleet_number(state: "State", aggregate: str, name: str) -> int:
     """
-    Give the sum of one number over all instances that are in touch.
+    Return the sum of a value over all reachable instances.
 
     :param state: the state.
     :param aggregate: name of the aggregate.
-    :param name: name of the number.
-    :returns: the sum, this instance's own number included.
+    :param name: name of the value.
+    :returns: the sum, including this instance's own value.
     """
     key = hash_name(aggregate, name)
     aggregates = state.membership.aggregates
@@ -65,24 +65,24 @@
 
 def zone_number(state: "State", aggregate: str, name: str) -> int:
     """
-    Give the sum of one number over the instances of the own zone.
+    Return the sum of a value over the instances of the local zone.
 
     :param state: the state.
     :param aggregate: name of the aggregate.
-    :param name: name of the number.
-    :returns: the sum, this instance's own number included.
+    :param name: name of the value.
+    :returns: the sum, including this instance's own value.
     """
     return _sum_zone(state, hash_name(aggregate, name))
 
 
 def zone_values(state: "State", aggregate: str, name: str) -> dict[str, int]:
     """
-    Give one number of each instance of the own zone, as last told.
+    Return a value of each instance of the local zone, as last reported.
 
     :param state: the state.
     :param aggregate: name of the aggregate.
-    :param name: name of the number.
-    :returns: numbers by instance, this instance's own included.
+    :param name: name of the value.
+    :returns: values by instance, including this instance's own.
     """
     key = hash_name(aggregate, name)
     aggregates = state.membership.aggregates
@@ -96,13 +96,13 @@
 
 def origin_value(state: "State", origin: str, aggregate: str, name: str) -> int:
     """
-    Give one number of one instance of the own zone, or the sum of another zone, as last told.
+    Return a value of an instance of the local zone, or the sum of another zone, as last reported.
 
     :param state: the state.
     :param origin: the instance or the zone.
     :param aggregate: name of the aggregate.
-    :param name: name of the number.
-    :returns: the number, 0 when it is not known.
+    :param name: name of the value.
+    :returns: the value, 0 when it is unknown.
     """
     aggregates = state.membership.aggregates
     if aggregates.last_seen_s.get(origin, 0.0) < state.now_s - VALID_S:
@@ -112,18 +112,18 @@
 
 def hash_name(aggregate: str, name: str) -> int:
     """
-    Give the number under which a name is sent.
+    Return the hash that identifies a value in messages.
 
     :param aggregate: name of the aggregate.
-    :param name: name of the number.
-    :returns: 32 bits.
+    :param name: name of the value.
+    :returns: 32-bit hash.
     """
     return xxhash.xxh32_intdigest(f"{aggregate}/{name}".encode())
 
 
 def refresh_local_values(state: "State") -> None:
     """
-    Ask the providers for this instance's numbers.
+    Update this instance's own values from the providers.
 
     :param state: the aggregates are changed in place.
     """
@@ -144,11 +144,11 @@
 
 def merge_received(state: "State", from_zone: str, received: tuple[OriginValues, ...]) -> None:
     """
-    Take over what a peer has told.
+    Merge the values that a peer has reported.
 
     :param state: the aggregates are changed in place.
     :param from_zone: zone of the peer.
-    :param received: its changed numbers.
+    :param received: the values that have changed.
     """
     for item in received:
         _merge_values(state, item.origin, item.numbers)
@@ -160,11 +160,11 @@
 
 def mark_origin_seen(aggregates: AggregateState, origin: str, now_s: float) -> None:
     """
-    Remember that an origin is in touch, though its numbers may not have changed.
+    Record that an origin is reachable, even if none of its values has changed.
 
     :param aggregates: changed in place.
-    :param origin: instance of the own zone, or zone.
-    :param now_s: time.
+    :param origin: instance of the local zone, or zone.
+    :param now_s: current time.
     """
     if origin in aggregates.numbers:
         aggregates.last_seen_s[origin] = now_s
@@ -174,13 +174,13 @@
     feed: Feed, peer: Peer, limit: int, now_s: float
 ) -> tuple[OriginValues, ...]:
     """
-    Choose the numbers that a peer is sent next.
+    Select the values to send to a peer next.
 
     :param feed: the feed.
-    :param peer: its place in the feed is moved on.
-    :param limit: largest count of numbers.
-    :param now_s: time.
-    :returns: the numbers, by origin.
+    :param peer: its position in the feed is advanced.
+    :param limit: maximum number of values.
+    :param now_s: current time.
+    :returns: the values, by origin.
     """
     if peer.feed_sent >= feed.sequence and now_s - peer.feed_reset_s >= FULL_RESEND_INTERVAL_S:
         peer.feed_sent = 0
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_handlers.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_handlers.py
@@ -1,5 +1,5 @@
 """
-Sends and takes heartbeats, and notices pauses of this process.
+Sends and handles heartbeats, and detects pauses of this process.
 """
 
 from collections.abc import Iterator
@@ -14,15 +14,15 @@
 from ._membership_state import ALIVE, DEAD, LEAVING, NEVER_S, Peer
 from ._state import State
 
-# Heartbeats to instances that count as dead go out at this interval.
+# Interval of heartbeats to instances that count as dead.
 DEAD_PEER_HEARTBEAT_INTERVAL_S = 5.0
-# A relay that hears nothing from another zone turns to its next instance after this time.
+# A relay that receives nothing from another zone tries the zone's next instance after this time.
 TARGET_SILENCE_TIMEOUT_S = 2.0
 
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Notice a pause, judge the liveness of others, and send the heartbeats that are due.
+    Detect a pause, update the liveness of peers, and send the heartbeats that are due.
     """
     membership = state.membership
     yield from _detect_pause(state)
@@ -39,7 +39,7 @@
 
 def on_listed(state: State, event: InstancesListed) -> Iterator[object]:
     """
-    Take over the list's entry instances.
+    Update the peers from the platform's instance list.
     """
     own = state.identity.sender
     state.membership.listed = True
@@ -49,7 +49,7 @@
 
 def on_peer(state: State, event: PeerReceived) -> Iterator[object]:
     """
-    Take a heartbeat, or learn that this incarnation was replaced.
+    Handle a heartbeat, or a notice that this incarnation was superseded.
     """
     if isinstance(event.message, Superseded):
         yield from _handle_superseded(state, event.message.incarnation)
@@ -65,7 +65,7 @@
     membership.last_gap_s = gap_s
     membership.last_gap_ended_s = state.now_s
     membership.pauses += 1
-    # Silence during the own pause is no sign that others are dead.
+    # No heartbeats could be received during the pause, so it does not count as silence of peers.
     for peer in membership.peers.values():
         if peer.last_seen_s != NEVER_S:
             peer.last_seen_s = max(peer.last_seen_s, state.now_s - _membership.SUSPECT_AFTER_S)
@@ -91,7 +91,7 @@
 
 def _send_relay_heartbeats(state: State) -> Iterator[object]:
     zones = _membership.relayed_zones(state)
-    # Every pair of zones has a path from each side, and both carry numbers.
+    # Each pair of zones has a path from either side, and both carry values.
     state.membership.relay_receivers = 2 * len(zones)
     for zone in zones:
         peer = _choose_target(state, zone)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_heartbeat.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_heartbeat.py
@@ -1,5 +1,5 @@
 """
-Makes heartbeats: what an instance tells its zone, and what relays tell other zones.
+Builds the heartbeats that instances send within their zone and that relays send to other zones.
 """
 
 from . import _freshness_withdrawals, _membership, _membership_aggregates
@@ -9,22 +9,23 @@
 
 ZONE_HEARTBEAT_INTERVAL_S = 0.5
 RELAY_HEARTBEAT_INTERVAL_S = 1.0
-# A changed liveness is told to others for this time.
+# A change of liveness is reported in heartbeats for this time.
 LIVENESS_CHANGE_REPORT_S = 10.0
-# An instance tells its zone about members of zones that it heard itself within this time.
+# An instance reports members of another zone to its own zone only if it has received a heartbeat
+# from that zone within this time.
 DIRECT_HEARTBEAT_MAX_AGE_S = 3.0
 MAX_MEMBERS_PER_HEARTBEAT = 32
-# Small enough to fit a count of milliseconds into three bytes of MessagePack.
+# The largest value that MessagePack encodes in three bytes.
 MAX_AGE_MS = 65_535
 
 
 def build_heartbeat(state: State, peer: Peer, *, wants_answer: bool = False) -> Heartbeat:
     """
-    Make the heartbeat for one peer.
+    Build the heartbeat for one peer.
 
-    :param state: what was sent to the peer is noted in its entry.
+    :param state: the peer's entry is updated with what is sent.
     :param peer: the receiver.
-    :param wants_answer: whether it is to answer at once.
+    :param wants_answer: whether the peer has to answer at once.
     :returns: the message.
     """
     in_zone = peer.sender.zone == state.identity.sender.zone
@@ -49,11 +50,12 @@
 
 def has_direct_heartbeats(state: State, zone: str) -> bool:
     """
-    Tell whether a zone's own heartbeats come here, so that this instance can speak for it.
+    Return whether this instance receives heartbeats directly from a zone, so that it can report on
+    the zone's members.
 
     :param state: the state.
     :param zone: the other zone.
-    :returns: whether one came lately.
+    :returns: whether one has arrived recently.
     """
     return (
         state.now_s - state.membership.direct_heartbeats_s.get(zone, -DIRECT_HEARTBEAT_MAX_AGE_S)
@@ -70,7 +72,7 @@
     views = []
     for zone, at_s in state.membership.zones.items():
         if in_zone and zone in state.membership.zones_from_local_peers:
-            # Another instance of this zone knows it first, and tells all.
+            # Another instance of this zone has the newer contact and reports it to all.
             continue
         age_ms = int((state.now_s - at_s) * 1000) + 1
         if age_ms <= MAX_AGE_MS:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_messages.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_messages.py
@@ -1,5 +1,5 @@
 """
-Messages by which entry instances learn of each other.
+Membership messages between entry instances.
 """
 
 from typing import NamedTuple
@@ -9,10 +9,10 @@
 
 class ZoneView(NamedTuple):
     """
-    What the sender knows of one other availability zone.
+    The sender's latest contact with another availability zone.
 
     :param zone: the zone.
-    :param age_ms: milliseconds since the zone was last known to be in touch.
+    :param age_ms: milliseconds since the zone was last known to be reachable.
     """
 
     zone: str
@@ -21,7 +21,7 @@
 
 class MemberView(NamedTuple):
     """
-    What the sender knows of one entry instance.
+    The sender's view of one entry instance.
 
     :param instance: id of the instance.
     :param incarnation: its newest incarnation.
@@ -35,10 +35,10 @@
 
 class OriginValues(NamedTuple):
     """
-    Changed numbers of one origin.
+    Changed aggregate values of one origin.
 
-    :param origin: instance of the sender's zone, or zone, whose numbers they are.
-    :param numbers: number by hash of its name.
+    :param origin: instance of the sender's zone, or zone, that the values belong to.
+    :param numbers: values by hash of their name.
     """
 
     origin: str
@@ -48,24 +48,25 @@
 @register_message
 class Heartbeat(NamedTuple):
     """
-    Sign of life of one entry instance, with what it knows.
+    Heartbeat of one entry instance, with its view of the fleet.
 
-    ``echo_s`` lets the receiver date what the message says by its own clock: all of it was true
-    after the receiver sent the echoed heartbeat, however long the answer waited in buffers.
+    ``echo_s`` lets the receiver date the contents by its own clock: all of them were true after the
+    receiver sent the echoed heartbeat, however long this message was delayed in buffers.
 
-    :param sent_s: time of sending by the sender's clock.
+    :param sent_s: send time by the sender's clock.
     :param echo_s: ``sent_s`` of the receiver's newest heartbeat that the sender has, or -1.
     :param peer_address: ``IP:PORT`` of the sender.
     :param leaving: whether the sender is stopping.
     :param next_offset: first offset that the sender has not folded.
-    :param head_age_ms: milliseconds since a moment of which the sender knows that it has folded
-        all records then in the log, or -1.
-    :param wants_answer: whether the receiver is to send a heartbeat back at once.
-    :param zones: other zones that the sender is in touch with.
-    :param suspects: instances of the sender's zone that it does not hear.
-    :param members: instances of the sender's zone, or in it those of others that are not alive.
-    :param numbers: changed aggregates.
-    :param withdrawn: names of withdrawn keys whose withdrawal is not known to be in the log.
+    :param head_age_ms: milliseconds since the newest time such that the sender has folded all
+        records that were in the log at that time, or -1.
+    :param wants_answer: whether the receiver has to send a heartbeat back at once.
+    :param zones: the sender's latest contacts with other zones.
+    :param suspects: instances of the sender's zone from which it receives no heartbeats.
+    :param members: to other zones, the instances of the sender's zone; within the zone, instances
+        of other zones that are dead or leaving or whose liveness has changed recently.
+    :param numbers: changed aggregate values.
+    :param withdrawn: names of withdrawn keys whose withdrawal is not yet known to be in the log.
     :param withdrawn_version: version of the sender's set of such withdrawals.
     :param withdrawn_seen: version of the receiver's set that the sender has.
     """
@@ -89,7 +90,7 @@
 @register_message
 class Superseded(NamedTuple):
     """
-    Tells an instance that a newer incarnation of it is alive.
+    Notifies an instance that a newer incarnation of it is alive.
 
     :param incarnation: the newer incarnation.
     """
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_state.py
@@ -1,5 +1,5 @@
 """
-State of the membership: the entry instances known here and when each was heard.
+State of the membership: the known entry instances and when each was last seen.
 """
 
 from typing import NamedTuple
@@ -19,12 +19,12 @@
 
 class Member(NamedTuple):
     """
-    One other entry instance, as seen from here.
+    One other entry instance, as seen from this one.
 
     :param sender: id, incarnation and zone.
     :param peer_address: ``IP:PORT`` for messages.
     :param zone: availability zone.
-    :param state: ``unknown`` (listed, never heard), ``alive``, ``suspect``, ``dead`` or
+    :param state: ``unknown`` (listed, never seen), ``alive``, ``suspect``, ``dead`` or
         ``leaving``.
     """
 
@@ -36,21 +36,22 @@
 
 class Peer(msgspec.Struct):
     """
-    What is kept of one other entry instance.
+    State of one other entry instance.
 
-    :param listed: whether the platform lists it.
-    :param last_seen_s: time of the newest heartbeat's arrival, or -1.
-    :param confirmed_s: time up to which its last heartbeat is known to be true, or -1.
+    :param listed: whether the platform's instance list contains it.
+    :param last_seen_s: arrival time of its newest heartbeat, or -1.
+    :param confirmed_s: newest ``sent_s`` of this instance that it has echoed, so that its heartbeat
+        is known to be true after that time, or -1.
     :param sent_s: time of the last heartbeat sent to it, or -1.
-    :param echo_s: its clock in its newest heartbeat, or -1.
+    :param echo_s: ``sent_s`` of its newest heartbeat, by its clock, or -1.
     :param state: its liveness.
-    :param known_s: time at which this incarnation became known here.
-    :param changed_s: time of the last change of its liveness.
-    :param suspects: instances that it does not hear.
+    :param known_s: time at which this incarnation became known.
+    :param changed_s: time of the last change of its liveness, or -1.
+    :param suspects: instances from which it receives no heartbeats.
     :param next_offset: first offset that it has not folded.
-    :param feed_sent: place in the feed of aggregates up to which it was sent numbers.
-    :param feed_reset_s: time at which the feed was last sent from its start.
-    :param withdrawn_seen: version of the own withdrawals that it has.
+    :param feed_sent: sequence number in the feed up to which values were sent to it.
+    :param feed_reset_s: time at which sending last restarted from the beginning of the feed.
+    :param withdrawn_seen: version of this instance's withdrawals that it has.
     :param withdrawn_version: version of its withdrawals that this instance has.
     """
 
@@ -74,10 +75,10 @@
 
 class FeedKey(NamedTuple):
     """
-    Which number it is.
+    Identifies a value in a feed.
 
-    :param origin: instance of the own zone, or zone.
-    :param key: hash of the number's name.
+    :param origin: instance of the local zone, or zone.
+    :param key: hash of the value's name.
     """
 
     origin: str
@@ -86,10 +87,10 @@
 
 class FeedEntry(NamedTuple):
     """
-    One number in a feed.
+    One value in a feed.
 
-    :param sequence: place in the feed.
-    :param value: the number.
+    :param sequence: sequence number in the feed.
+    :param value: the value.
     """
 
     sequence: int
@@ -98,10 +99,10 @@
 
 class Feed(msgspec.Struct):
     """
-    Newest numbers in the order of their last change.
+    Latest values in the order of their last change.
 
-    :param entries: the numbers.
-    :param sequence: place of the newest entry.
+    :param entries: the values.
+    :param sequence: sequence number of the newest entry.
     """
 
     entries: dict[FeedKey, FeedEntry] = msgspec.field(default_factory=dict)
@@ -110,12 +111,12 @@
 
 class AggregateState(msgspec.Struct):
     """
-    Numbers that the entry instances tell each other.
+    Aggregate values that the entry instances exchange.
 
-    :param numbers: numbers by origin and hash of their name.
-    :param last_seen_s: time at which each origin was last heard of.
-    :param zone_feed: what is told to instances of the own zone.
-    :param relay_feed: sums of the own zone, which are told to other zones.
+    :param numbers: values by origin and hash of their name.
+    :param last_seen_s: time at which each origin was last known to be reachable.
+    :param zone_feed: values to send to instances of the local zone.
+    :param relay_feed: sums of the local zone to send to other zones.
     """
 
     numbers: dict[str, dict[int, int]] = msgspec.field(default_factory=dict)
@@ -126,23 +127,23 @@
 
 class MembershipState(msgspec.Struct):
     """
-    Entry instances, contacts with zones and pauses of this process.
+    Entry instances, contacts with other zones, and pauses of this process.
 
     :param peers: other entry instances by id.
-    :param listed: whether the platform's list was read since the start.
-    :param zones: time up to which each other zone is known to be in touch.
-    :param zones_from_local_peers: zones of which an instance of the own zone has told last.
-    :param direct_heartbeats_s: time of the last heartbeat that came straight from each other zone.
+    :param listed: whether the platform's instance list was read since the start.
+    :param zones: time at which each other zone was last known to be reachable.
+    :param zones_from_local_peers: zones whose latest contact was reported by a local-zone peer.
+    :param direct_heartbeats_s: time of the last heartbeat received directly, by other zone.
     :param tick_s: time of the last tick, or -1 before the first.
-    :param last_gap_s: length of the last pause between two ticks that was too long.
+    :param last_gap_s: length of the last pause of this process, seen as a gap between two ticks.
     :param last_gap_ended_s: time at which that pause ended, or -1.
-    :param pauses: count of such pauses.
+    :param pauses: number of such pauses.
     :param superseded: whether a newer incarnation of this instance is alive.
-    :param zone_heartbeats_sent_s: time of the last heartbeats in the zone.
-    :param relay_heartbeats_sent_s: time of the last heartbeats to other zones.
-    :param zone_receivers: count of the last heartbeats' receivers in the zone.
-    :param relay_receivers: count of paths to other zones that this instance serves.
-    :param aggregates: numbers that instances tell each other.
+    :param zone_heartbeats_sent_s: time of the last heartbeats to the local zone; -1 makes them due.
+    :param relay_heartbeats_sent_s: time of the last heartbeats to other zones; -1 makes them due.
+    :param zone_receivers: number of receivers of the last heartbeats in the local zone.
+    :param relay_receivers: number of paths to other zones that this instance serves.
+    :param aggregates: aggregate values that the instances exchange.
     """
 
     peers: dict[str, Peer] = msgspec.field(default_factory=dict)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_outbox.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_outbox.py
@@ -1,10 +1,11 @@
 """
-Records that this instance wants in the log, appended in order with one batch in flight.
+Outbox of records that this instance appends to the log, in order, with one batch in flight.
 
-Withdrawals go first, under a writer's name of their own, since the fold takes the records of one
-writer in the order of their sequence. A batch whose answer was lost is not appended again before
-the log was read to a head that is newer than the loss; what was not found there is appended with
-the same ids, and the fold takes each id once.
+Key withdrawals are appended first, under a separate writer name, because the fold accepts the
+records of one writer only in the order of their sequence numbers. A batch with an unknown outcome
+is not appended again until the log has been read up to a head that is newer than the failure.
+Records that were not found there are appended again with the same ids; the fold applies each id
+only once.
 """
 
 from collections.abc import Iterator
@@ -28,7 +29,7 @@
 
 BATCH_RECORDS = 50
 MAX_WAITING_RECORDS = 2000
-# Records that all instances together append in a second at most, below the platform's cap.
+# Limit for all instances together, below the platform's rate limit.
 FLEET_RECORDS_PER_S = 200.0
 MIN_RECORDS_PER_S = 2.0
 BACKOFF_MIN_S = 0.25
@@ -40,7 +41,7 @@
 
 def on_wanted(state: State, event: RecordWanted) -> Iterator[object]:
     """
-    Number the record and append it as soon as it is its turn.
+    Assign a sequence number to the record and put it in its lane.
     """
     sender = state.identity.sender
     name = URGENT if event.kind in URGENT_KINDS else NORMAL
@@ -56,7 +57,7 @@
 
 def on_done(state: State, event: AppendDone) -> Iterator[object]:
     """
-    Append the next batch.
+    Continue with the next batch after a successful append.
     """
     outbox = state.outbox
     lane = _end_append(outbox)
@@ -68,7 +69,7 @@
 
 def on_failed(state: State, event: AppendFailed) -> Iterator[object]:
     """
-    Append the batch again later; when it may be in the log, only after looking there.
+    Append the batch again after a backoff; if it may be in the log, only after reading the log.
     """
     yield WriteLog("append.failed", {"reason": event.reason})
     outbox = state.outbox
@@ -82,7 +83,7 @@
 
 def on_reached(state: State, event: LogReached) -> Iterator[object]:
     """
-    Settle what was uncertain before the moment up to which the log was read.
+    End the uncertainty of batches that failed before the log was read.
     """
     for lane in state.outbox.lanes.values():
         if lane.uncertain_since_s != NEVER_S and lane.uncertain_since_s <= event.as_of_s:
@@ -92,13 +93,13 @@
 
 def on_folded(state: State, event: RecordFolded) -> Iterator[object]:
     """
-    Tell the domains what became of this instance's own records.
+    Notify the domains of the outcome of this instance's own records.
     """
     record_id = event.record.id
     if record_id.incarnation != state.identity.sender.incarnation:
         return
     if event.reason == REASON_REPEATED:
-        # The first copy of the record was resolved already.
+        # The first copy of the record has already been resolved.
         return
     for name, lane in state.outbox.lanes.items():
         if record_id.writer == writer_name(state, name):
@@ -112,18 +113,18 @@
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Append what had to wait for room or for the end of a pause.
+    Append records that had to wait for quota or for the end of a backoff.
     """
     yield from _send_next(state)
 
 
 def writer_name(state: State, lane: Lane) -> str:
     """
-    Give the name under which this instance writes a lane's records.
+    Return the writer name of this instance for a lane.
 
     :param state: the state.
     :param lane: the lane.
-    :returns: the writer's name.
+    :returns: the writer name.
     """
     instance = state.identity.sender.instance
     return instance + URGENT_SUFFIX if lane == URGENT else instance
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_records.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_records.py
@@ -1,5 +1,5 @@
 """
-Records of the platform's log, and their JSON form.
+Records of the platform's log, and their JSON representation.
 """
 
 from collections.abc import Mapping
@@ -16,7 +16,8 @@
 KEY_GRANTED = "key.granted"
 KEY_WITHDRAWN = "key.withdrawn"
 
-# Kinds that only ever take something away, so that their order against others does not matter.
+# Kinds that only ever remove something, so that their order relative to other records doesn't
+# matter.
 MONOTONE_KINDS = frozenset({KEY_WITHDRAWN})
 
 
@@ -24,12 +25,12 @@
     """
     One record of the control stream.
 
-    :param id: the record's id, equal in every repeat of its append.
-    :param kind: what the record means, such as ``key.granted``.
-    :param subject: what it changes, such as ``key/gartenschau/k7``.
-    :param base: offset of the subject's last accepted record that the writer had seen, or
-        ``None`` for no check.
-    :param body: fields that belong to the kind.
+    :param id: id of the record, the same in each repeated append.
+    :param kind: type of the change, such as ``key.granted``.
+    :param subject: object that it changes, such as ``key/gartenschau/k7``.
+    :param base: offset of the subject's last accepted record that the writer knew, or ``None`` for
+        no check.
+    :param body: fields specific to the kind.
     """
 
     id: RecordId
@@ -41,10 +42,10 @@
 
 class StoredRecord(NamedTuple):
     """
-    A record at its place in the log.
+    A record with its offset in the log.
 
-    :param offset: place in the stream, from 1.
-    :param record: the record, or ``None`` when what the log holds there is not one.
+    :param offset: offset in the stream, from 1.
+    :param record: the record, or ``None`` when the log holds no valid record at the offset.
     """
 
     offset: int
@@ -53,7 +54,7 @@
 
 class RecordJson(msgspec.Struct):
     """
-    The JSON form of a record.
+    The JSON representation of a record.
     """
 
     id: dict[str, Any]
@@ -65,7 +66,7 @@
 
 def record_to_json(record: Record) -> dict[str, Any]:
     """
-    Give the JSON form of a record.
+    Return the JSON representation of a record.
 
     :param record: the record.
     :returns: a mapping ready to be encoded.
@@ -75,10 +76,10 @@
 
 def record_from_json(data: object) -> Record | None:
     """
-    Read the JSON form of a record.
+    Parse the JSON representation of a record.
 
     :param data: a decoded JSON value.
-    :returns: the record, or ``None`` when the value is no record.
+    :returns: the record, or ``None`` when the value is not a valid record.
     """
     try:
         raw = msgspec.convert(data, RecordJson)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_chunks.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_chunks.py
@@ -1,5 +1,5 @@
 """
-Chunks of a snapshot: cut, checked and joined.
+Splitting of a snapshot into compressed chunks, and checked reassembly.
 """
 
 import zlib
@@ -19,13 +19,13 @@
     One part of a snapshot.
 
     :param snapshot: id of the snapshot.
-    :param offset: last offset of the control stream that is folded into it.
-    :param number: place of this chunk, from 0.
-    :param chunks: count of the snapshot's chunks.
-    :param total_bytes: length of the whole snapshot.
-    :param total_checksum: XXH3 of the whole snapshot.
+    :param offset: last offset of the control stream that the snapshot covers.
+    :param number: index of this chunk, from 0.
+    :param chunks: number of chunks of the snapshot.
+    :param total_bytes: size of the complete uncompressed snapshot.
+    :param total_checksum: XXH3 of the complete uncompressed snapshot.
     :param checksum: XXH3 of this chunk's data.
-    :param data: the part, compressed.
+    :param data: the compressed data.
     """
 
     snapshot: str
@@ -40,10 +40,10 @@
 
 class RawSnapshot(NamedTuple):
     """
-    An encoded snapshot that is ready to be cut.
+    An encoded snapshot that is not split into chunks.
 
     :param snapshot: its id.
-    :param offset: last offset folded into it.
+    :param offset: last offset of the control stream that it covers.
     :param checksum: XXH3 of the data.
     :param data: the encoded fold.
     """
@@ -56,10 +56,10 @@
 
 class StoredChunk(NamedTuple):
     """
-    A chunk at its place in the snapshot stream.
+    A chunk with its offset in the snapshot stream.
 
-    :param offset: place in the stream, from 1.
-    :param chunk: the chunk, or ``None`` when what is there is not one.
+    :param offset: offset in the stream, from 1.
+    :param chunk: the chunk, or ``None`` when the log holds no valid chunk at the offset.
     """
 
     offset: int
@@ -68,26 +68,26 @@
 
 class ChunkError(Exception):
     """
-    Chunks do not give a whole snapshot.
+    Raised when chunks don't make up a valid snapshot.
     """
 
 
 def count_chunks(raw: RawSnapshot) -> int:
     """
-    Give the number of chunks of a snapshot.
+    Return the number of chunks of a snapshot.
 
     :param raw: the snapshot.
-    :returns: the count, at least 1.
+    :returns: the number, at least 1.
     """
     return max(1, -(-len(raw.data) // CHUNK_BYTES))
 
 
 def build_chunk(raw: RawSnapshot, number: int) -> SnapshotChunk:
     """
-    Cut and compress one chunk.
+    Build one compressed chunk of a snapshot.
 
     :param raw: the snapshot.
-    :param number: place of the chunk, from 0.
+    :param number: index of the chunk, from 0.
     :returns: the chunk.
     """
     part = raw.data[number * CHUNK_BYTES : (number + 1) * CHUNK_BYTES]
@@ -106,39 +106,39 @@
 
 def is_complete(chunks: Mapping[int, SnapshotChunk]) -> bool:
     """
-    Tell whether all chunks of a snapshot are there.
+    Return whether all chunks of a snapshot are present.
 
     :param chunks: chunks of one snapshot by number.
-    :returns: whether they are.
+    :returns: whether none is missing.
     """
     return bool(chunks) and len(chunks) == next(iter(chunks.values())).chunks
 
 
 def join_chunks(chunks: Mapping[int, SnapshotChunk]) -> RawSnapshot:
     """
-    Check the chunks and join them.
+    Reassemble a snapshot from its chunks.
 
     :param chunks: all chunks of one snapshot by number.
     :returns: the snapshot.
-    :raises ChunkError: when a chunk is missing, corrupt or does not belong to the others.
+    :raises ChunkError: when a chunk is missing, corrupt or belongs to another snapshot.
     """
     if not is_complete(chunks):
         raise ChunkError("chunks are missing")
     ordered = [chunks[number] for number in sorted(chunks)]
     first = ordered[0]
     if any(_snapshot_key(chunk) != _snapshot_key(first) for chunk in ordered):
-        raise ChunkError("chunks of different snapshots")
+        raise ChunkError("chunks belong to different snapshots")
     if [chunk.number for chunk in ordered] != list(range(first.chunks)):
         raise ChunkError("chunks are missing")
     data = b"".join(_decompress_chunk(chunk) for chunk in ordered)
     if len(data) != first.total_bytes or xxhash.xxh3_64_intdigest(data) != first.total_checksum:
-        raise ChunkError("the whole does not match its checksum")
+        raise ChunkError("snapshot does not match its size or checksum")
     return RawSnapshot(first.snapshot, first.offset, first.total_checksum, data)
 
 
 def chunk_to_json(chunk: SnapshotChunk) -> dict[str, Any]:
     """
-    Give the JSON form of a chunk.
+    Return the JSON representation of a chunk.
 
     :param chunk: the chunk.
     :returns: a mapping ready to be encoded.
@@ -149,10 +149,10 @@
 
 def chunk_from_json(data: object) -> SnapshotChunk | None:
     """
-    Read the JSON form of a chunk.
+    Parse the JSON representation of a chunk.
 
     :param data: a decoded JSON value.
-    :returns: the chunk, or ``None`` when the value is none.
+    :returns: the chunk, or ``None`` when the value is not a valid chunk.
     """
     if not isinstance(data, Mapping):
         return None
@@ -171,9 +171,9 @@
     if xxhash.xxh3_64_intdigest(chunk.data) != chunk.checksum:
         raise ChunkError(f"chunk {chunk.number} does not match its checksum")
     if chunk.total_bytes > MAX_SNAPSHOT_BYTES:
-        raise ChunkError("the snapshot is too large")
+        raise ChunkError("snapshot is too large")
     decompressor = zlib.decompressobj()
     try:
         return decompressor.decompress(chunk.data, CHUNK_BYTES)
     except zlib.error as exc:
-        raise ChunkError(f"chunk {chunk.number} cannot be opened") from exc
+        raise ChunkError(f"chunk {chunk.number} cannot be decompressed") from exc
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_codec.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_codec.py
@@ -1,9 +1,9 @@
 """
-Encodes the fold as a snapshot and reads it back, also between versions of the program.
+Encodes the fold as a snapshot and decodes it, also across versions of the program.
 
-A program uses a snapshot when it knows all kinds that the maker knew; records of kinds that only
-the reader knows come with the snapshot. A snapshot of a newer maker is left alone, because the
-part of it that is unknown here would fall behind.
+A version accepts a snapshot if it knows all record kinds that the maker knew. Records of kinds that
+only the reader knows are contained in the snapshot, and the reader applies them. A snapshot of a
+newer maker is rejected, because the part of it that is unknown here would become outdated.
 """
 
 from collections.abc import Mapping
@@ -16,16 +16,16 @@
 from ._snapshots_chunks import RawSnapshot
 from ._state import Fold
 
-# Grows when the layout of the fold changes so that older programs must not read it.
+# Incremented when the layout of the fold changes incompatibly.
 FORMAT = 1
 
 
 class SnapshotHeader(msgspec.Struct):
     """
-    What is read first.
+    Start of a snapshot, which is decoded first.
 
-    :param format: layout of the fold.
-    :param kinds: kinds of records that the maker knew.
+    :param format: version of the layout of the fold.
+    :param kinds: record kinds that the maker knew.
     """
 
     format: int
@@ -34,7 +34,7 @@
 
 class SnapshotBody(SnapshotHeader):
     """
-    The whole snapshot.
+    The complete snapshot.
 
     :param fold: the folded state.
     """
@@ -44,7 +44,7 @@
 
 class SnapshotError(Exception):
     """
-    A snapshot cannot be used by this program.
+    Raised when this version of the program cannot use a snapshot.
     """
 
 
@@ -55,10 +55,10 @@
 
 def encode_snapshot(fold: Fold, appliers: Mapping[str, Applier], maker: Sender) -> RawSnapshot:
     """
-    Encode the fold.
+    Encode the fold as a snapshot.
 
     :param fold: the folded state.
-    :param appliers: kinds that this program knows.
+    :param appliers: appliers of the record kinds that this version knows.
     :param maker: this instance.
     :returns: the snapshot.
     """
@@ -70,31 +70,31 @@
 
 def decode_snapshot(raw: RawSnapshot, appliers: Mapping[str, Applier]) -> Fold:
     """
-    Read a snapshot, and decide about its records that its maker did not know.
+    Decode a snapshot, and apply its records of kinds that the maker did not know.
 
     :param raw: the snapshot.
-    :param appliers: kinds that this program knows.
+    :param appliers: appliers of the record kinds that this version knows.
     :returns: the folded state.
-    :raises SnapshotError: when this program cannot use it.
+    :raises SnapshotError: when this version cannot use it.
     """
     try:
         header = _header_decoder.decode(raw.data)
         _check_header(header, appliers)
         fold = _body_decoder.decode(raw.data).fold
     except msgspec.MsgspecError as exc:
-        raise SnapshotError(f"undecodable: {exc}") from exc
+        raise SnapshotError(f"cannot decode snapshot: {exc}") from exc
     if fold.position.next_offset != raw.offset + 1:
-        raise SnapshotError("its offset is not the fold's")
+        raise SnapshotError("offset of the snapshot differs from the offset of its fold")
     lost = sorted(set(fold.position.unknown.lost) & set(appliers))
     if lost:
-        raise SnapshotError(f"its maker dropped records of {', '.join(lost)}")
+        raise SnapshotError(f"maker has dropped records of kinds {', '.join(lost)}")
     apply_unknown_records(fold.position, appliers, fold)
     return fold
 
 
 def _check_header(header: SnapshotHeader, appliers: Mapping[str, Applier]) -> None:
     if header.format != FORMAT:
-        raise SnapshotError(f"format {header.format}")
+        raise SnapshotError(f"unsupported format {header.format}")
     newer = sorted(set(header.kinds) - set(appliers))
     if newer:
-        raise SnapshotError(f"its maker knew {', '.join(newer)}")
+        raise SnapshotError(f"maker knew newer kinds {', '.join(newer)}")
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_fold.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_fold.py
@@ -1,5 +1,5 @@
 """
-Which snapshot is the newest, as decided by the log.
+The newest announced snapshot, as determined by the log.
 """
 
 import msgspec
@@ -14,9 +14,9 @@
 
 class SnapshotFold(msgspec.Struct):
     """
-    The newest snapshot that was announced.
+    The newest announced snapshot.
 
-    :param offset: last offset folded into it, or 0.
+    :param offset: last offset that it covers, or 0.
     :param announced: offset of the announcement, or 0.
     """
 
@@ -26,12 +26,12 @@
 
 def apply_snapshot_made(snapshots: SnapshotFold, offset: int, record: Record) -> str:
     """
-    Take over an announcement.
+    Apply the announcement of a snapshot.
 
     :param snapshots: changed in place.
-    :param offset: the record's place in the log.
+    :param offset: offset of the record.
     :param record: a ``snapshot.made`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: a reason to reject it, or an empty string.
     """
     folded = record.body.get("offset")
     if record.subject != SNAPSHOT_SUBJECT or not isinstance(folded, int):
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_install.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_install.py
@@ -1,5 +1,5 @@
 """
-Puts a snapshot in place of the fold.
+Replaces the fold by a snapshot.
 """
 
 from collections.abc import Iterator
@@ -14,12 +14,12 @@
 
 def install(state: State, raw: RawSnapshot) -> Iterator[object]:
     """
-    Replace the fold when the snapshot is newer.
+    Replace the fold if the snapshot is newer.
 
     :param state: the state.
     :param raw: the snapshot.
-    :returns: effects that tell the domains.
-    :raises SnapshotError: when this program cannot use it.
+    :returns: effects that notify the domains.
+    :raises SnapshotError: when this version cannot use it.
     """
     fold = decode_snapshot(raw, APPLIERS)
     if fold.position.next_offset <= state.fold.position.next_offset:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_maker.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_maker.py
@@ -1,8 +1,8 @@
 """
-Makes snapshots before the log drops the records that they replace.
+Creates snapshots before the log drops the records that they replace.
 
-The instance that does it is chosen by rendezvous hashing, and the next one follows when the first
-does not announce a snapshot in time. Two snapshots of the same state do no harm.
+The instance that creates a snapshot is chosen by rendezvous hashing. The next one in that order
+takes over when no snapshot is announced in time. Two snapshots of the same state do no harm.
 """
 
 from collections.abc import Iterator
@@ -29,16 +29,16 @@
 APPEND_INTERVAL_S = 0.5
 RETRY_S = 1.0
 MAX_FAILURES = 30
-# The next instance in the order of choice waits so much longer.
+# Additional wait for each instance that precedes this one in the order of choice.
 TAKEOVER_S = 15.0
-# A snapshot is due when the log has dropped so much of what came since the last one.
+# A snapshot is due when the newest one covers less than this share of the records in the log.
 RETENTION_SHARE = 0.5
 RETENTION_MIN_INTERVAL_S = 60.0
 
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Begin a snapshot when it is due and this instance's turn, and append the next chunks.
+    Start a snapshot when one is due and it is this instance's turn, and append the next chunks.
     """
     _snapshots_peer.drop_expired_shared_snapshot(state)
     _track_announcement(state)
@@ -58,7 +58,7 @@
 
 def on_appended(state: State, event: SnapshotChunksAppended) -> Iterator[object]:
     """
-    Go on with the next chunks, and announce the snapshot after the last.
+    Continue with the next chunks, and announce the snapshot after the last one.
     """
     upload = state.snapshots.upload
     if upload is None:
@@ -71,7 +71,7 @@
         return
     state.snapshots.upload = None
     state.snapshots.due_since_s = NEVER_S
-    # Not due again while the announcement is under way.
+    # Prevents another snapshot from becoming due before the announcement is folded.
     state.snapshots.seen_s = state.now_s
     yield WriteLog("snapshot.made", {"snapshot": upload.raw.snapshot})
     base = state.fold.position.revisions.get(SNAPSHOT_SUBJECT, 0)
@@ -81,7 +81,7 @@
 
 def on_append_failed(state: State, event: SnapshotAppendFailed) -> Iterator[object]:
     """
-    Append the same chunks again later; readers take each chunk once.
+    Retry the same chunks later; readers use each chunk only once.
     """
     upload = state.snapshots.upload
     if upload is None:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_messages.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_messages.py
@@ -1,5 +1,5 @@
 """
-Effects, events and messages about snapshots.
+Effects, events and peer messages about snapshots.
 """
 
 from typing import NamedTuple
@@ -12,8 +12,8 @@
     """
     Read the snapshot stream.
 
-    :param from_offset: first chunk wanted.
-    :param limit: most chunks wanted.
+    :param from_offset: offset of the first chunk to read.
+    :param limit: maximum number of chunks.
     :param delay_s: seconds to wait before reading.
     """
 
@@ -34,7 +34,7 @@
 
 class SnapshotsRead(NamedTuple):
     """
-    A read of the snapshot stream was answered.
+    A read of the snapshot stream succeeded.
 
     :param chunks: the chunks read, in order.
     :param head: offset of the newest chunk, 0 when there is none.
@@ -48,7 +48,7 @@
 
 class SnapshotsTruncated(NamedTuple):
     """
-    The snapshot stream no longer keeps the offset that was asked for.
+    The snapshot stream no longer holds the requested offset.
 
     :param first: oldest offset kept.
     :param head: newest offset.
@@ -62,7 +62,7 @@
     """
     A read of the snapshot stream failed.
 
-    :param reason: what the adapter saw.
+    :param reason: error reported by the adapter.
     """
 
     reason: str
@@ -70,9 +70,9 @@
 
 class SnapshotChunksAppended(NamedTuple):
     """
-    The log has taken chunks.
+    Chunks were appended to the snapshot stream.
 
-    :param first: offset of the first of them.
+    :param first: offset of the first appended chunk.
     """
 
     first: int
@@ -80,9 +80,9 @@
 
 class SnapshotAppendFailed(NamedTuple):
     """
-    Chunks were refused, or the answer was lost; appending them again does no harm.
+    Chunks were rejected, or the answer was lost; appending them again is idempotent for readers.
 
-    :param reason: what the adapter saw.
+    :param reason: error reported by the adapter.
     """
 
     reason: str
@@ -93,9 +93,9 @@
     """
     Asks a peer for chunks of its state.
 
-    :param snapshot: the snapshot begun with, or empty for a new one.
-    :param first: number of the first chunk wanted.
-    :param limit: most chunks wanted.
+    :param snapshot: id of the snapshot whose chunks were received before, or empty for a new one.
+    :param first: number of the first chunk requested.
+    :param limit: maximum number of chunks.
     """
 
     snapshot: str
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_peer.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_peer.py
@@ -1,5 +1,5 @@
 """
-State from peer to peer, in chunks that the asking side paces.
+Transfer of state between peers, in chunks that the receiver requests at its own rate.
 """
 
 from collections.abc import Iterator, Mapping
@@ -15,17 +15,17 @@
 from ._snapshots_messages import StateAsked, StateGiven
 from ._state import State
 
-# The log has this time to bring a snapshot before a peer is asked.
+# Time for the snapshot stream to supply a snapshot before a peer is asked.
 PEER_REQUEST_DELAY_S = 1.0
 ANSWER_TIMEOUT_S = 1.0
 CHUNKS_PER_REQUEST = 4
-# A snapshot made for a peer is kept for others that start at the same time.
+# A snapshot built for a peer is reused for other peers that start within this time.
 SHARED_SNAPSHOT_REUSE_S = 30.0
 
 
 def request_state(state: State) -> Iterator[object]:
     """
-    Ask a peer when it is time, and another one when the first does not answer.
+    Request state from a peer when it is time, and from another one if the first doesn't answer.
 
     :param state: the state.
     :returns: effects.
@@ -47,7 +47,7 @@
 
 def request_next_chunks(state: State) -> Iterator[object]:
     """
-    Ask for the next chunks once those that were asked for have come.
+    Request the next chunks once all chunks requested before have arrived.
 
     :param state: the state.
     :returns: effects.
@@ -60,12 +60,12 @@
 
 def accept_chunk(state: State, sender: Sender, chunk: SnapshotChunk) -> Mapping[int, SnapshotChunk]:
     """
-    Take a chunk from the peer that was asked.
+    Store a chunk from the peer that was asked, and ignore chunks of other peers.
 
     :param state: the state.
-    :param sender: who sent it.
+    :param sender: sender of the chunk.
     :param chunk: the chunk.
-    :returns: all chunks of its snapshot that have come.
+    :returns: all chunks of its snapshot received so far, none when the chunk was ignored.
     """
     search = state.snapshots.search
     if sender.instance != search.peer:
@@ -81,7 +81,7 @@
 
 def abandon_peer(state: State) -> None:
     """
-    Forget what the peer gave, so that another one is asked.
+    Discard the chunks of the peer, so that another peer is asked.
 
     :param state: the state.
     """
@@ -94,10 +94,10 @@
 
 def send_state(state: State, event: PeerReceived) -> Iterator[object]:
     """
-    Give chunks of the own state, if it is whole.
+    Answer a peer's request with chunks of this instance's state, if its fold has caught up.
 
     :param state: the state.
-    :param event: the message, which may be another one.
+    :param event: the message, which is ignored when it is not a `StateAsked`.
     :returns: effects.
     """
     message = event.message
@@ -114,7 +114,7 @@
 
 def drop_expired_shared_snapshot(state: State) -> None:
     """
-    Free the snapshot that was made for peers once nobody has asked for a while.
+    Free the snapshot that was built for peers, some time after the end of its reuse.
 
     :param state: the state.
     """
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_search.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_search.py
@@ -1,8 +1,8 @@
 """
 Starts this instance from a snapshot: the newest usable one in the log, or a peer's state.
 
-The snapshot stream is searched from its end, since what matters stands there. While the search
-has brought nothing, a peer is asked for its state as well; whichever is whole first is taken.
+The snapshot stream is searched backwards, because the newest snapshots are at its end. Until the
+search finds one, a peer is asked for its state as well; whichever is complete first is used.
 """
 
 from collections.abc import Iterator
@@ -26,7 +26,7 @@
 from ._state import State
 
 WINDOW_CHUNKS = 16
-# Snapshots whose chunks are held at the same time during the search.
+# Maximum number of snapshots whose chunks are held at the same time during the search.
 MAX_CANDIDATE_SNAPSHOTS = 4
 RETRY_S = 0.5
 RETRY_MAX_S = 8.0
@@ -34,14 +34,14 @@
 
 def on_started(state: State, event: Started) -> Iterator[object]:
     """
-    Look for a snapshot before the log is read.
+    Search for a snapshot before the log is read.
     """
     yield from _start_search(state, 0.0)
 
 
 def on_needed(state: State, event: SnapshotNeeded) -> Iterator[object]:
     """
-    Look for a snapshot that is newer than the fold.
+    Search for a snapshot that is newer than the fold.
     """
     if state.snapshots.phase == SEEKING:
         return
@@ -52,7 +52,7 @@
 
 def on_reached(state: State, event: LogReached) -> Iterator[object]:
     """
-    Search without delay the next time, since the fold is whole again.
+    Reset the backoff of the search, because the fold has caught up.
     """
     state.snapshots.search_count = 0
     return iter(())
@@ -60,7 +60,7 @@
 
 def on_read(state: State, event: SnapshotsRead) -> Iterator[object]:
     """
-    Take the chunks, use the newest whole snapshot, or read further back.
+    Collect the chunks, install the newest complete snapshot, or read further back.
     """
     state.snapshots.reading = False
     if state.snapshots.phase != SEEKING:
@@ -79,7 +79,7 @@
 
 def on_truncated(state: State, event: SnapshotsTruncated) -> Iterator[object]:
     """
-    Begin at what is still kept.
+    Restart the search at the chunks that are still kept.
     """
     state.snapshots.reading = False
     if state.snapshots.phase == SEEKING:
@@ -88,7 +88,7 @@
 
 def on_unavailable(state: State, event: SnapshotsUnavailable) -> Iterator[object]:
     """
-    Begin again later.
+    Restart the search after a delay.
     """
     state.snapshots.reading = False
     if state.snapshots.phase == SEEKING:
@@ -100,7 +100,7 @@
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Ask a peer for its state when the log brings nothing.
+    Ask a peer for its state while the search of the log has found nothing.
     """
     if state.snapshots.phase == SEEKING:
         yield from _snapshots_peer.request_state(state)
@@ -108,7 +108,7 @@
 
 def on_peer(state: State, event: PeerReceived) -> Iterator[object]:
     """
-    Take a chunk of a peer's state, or give chunks of the own.
+    Handle a chunk of a peer's state, or answer a peer's request for state.
     """
     if not isinstance(event.message, StateGiven):
         yield from _snapshots_peer.send_state(state, event)
@@ -125,7 +125,7 @@
         _snapshots_peer.abandon_peer(state)
         yield _skipped_event(event.message.chunk.snapshot, exc)
         return
-    # The peer was whole, so the fold is as whole as its was.
+    # Only peers that have caught up send their state, so the installed fold has caught up too.
     state.log.caught_up = True
     yield from _finish(state)
 
@@ -146,7 +146,7 @@
 def _read_newest(state: State, first: int, head: int) -> Iterator[object]:
     search = state.snapshots.search
     if head < first:
-        # The stream is empty, so the log must still hold everything.
+        # Without any snapshot, the log must still hold all records.
         yield from _finish(state)
         return
     search.first = first
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_state.py
@@ -1,5 +1,5 @@
 """
-State of making snapshots and of starting from one.
+State of creating snapshots and of starting from one.
 """
 
 from typing import Literal
@@ -19,18 +19,18 @@
     """
     The search for a usable snapshot.
 
-    :param since_s: time at which it began.
+    :param since_s: time at which it started.
     :param from_log: chunks read from the log, by snapshot and number.
-    :param window_first: offset of the first chunk asked for, or 0 before the head is known.
-    :param window_last: offset of the last chunk asked for.
-    :param first: oldest chunk that the log keeps.
+    :param window_first: offset of the first requested chunk, or 0 before the head is known.
+    :param window_last: offset of the last requested chunk.
+    :param first: offset of the oldest chunk that the log keeps.
     :param log_failed: whether a read of the snapshot stream has failed.
-    :param rejected: snapshots that were found unusable.
+    :param rejected: ids of snapshots that are unusable.
     :param from_peer: chunks from the peer that was asked, by number.
     :param peer: instance that was asked, or empty.
-    :param peer_snapshot: snapshot that the peer gives, or empty.
-    :param peer_requested_s: time of the last question.
-    :param peer_failures: questions without an answer.
+    :param peer_snapshot: id of the snapshot that the peer sends, or empty.
+    :param peer_requested_s: time of the last request to the peer or the last chunk from it.
+    :param peer_failures: number of peers that did not supply a usable state.
     """
 
     since_s: float = NEVER_S
@@ -49,13 +49,13 @@
 
 class SnapshotUpload(msgspec.Struct):
     """
-    The snapshot that is being appended.
+    A snapshot that is being appended to the snapshot stream.
 
     :param raw: the snapshot.
-    :param next_number: first chunk not yet appended.
-    :param in_flight: chunks whose append is awaited.
+    :param next_number: number of the first chunk that is not yet appended.
+    :param in_flight: chunks whose append is pending.
     :param not_before_s: time before which nothing is appended.
-    :param failures: failed appends in a row.
+    :param failures: consecutive failed appends.
     """
 
     raw: RawSnapshot
@@ -67,9 +67,9 @@
 
 class SharedSnapshot(msgspec.Struct):
     """
-    The snapshot that is kept ready for peers.
+    A snapshot that is kept for requests of peers.
 
-    :param made_s: time of making.
+    :param made_s: time at which it was built.
     :param raw: the snapshot, or ``None``.
     """
 
@@ -81,15 +81,15 @@
     """
     Snapshots at this instance.
 
-    :param phase: how far the start has come.
-    :param search: the search, while it goes on.
-    :param reading: whether a read of the snapshot stream is awaited or scheduled.
-    :param search_count: searches since the fold was last whole.
+    :param phase: progress of the start from a snapshot.
+    :param search: the current search.
+    :param reading: whether a read of the snapshot stream is pending or scheduled.
+    :param search_count: searches since the fold last caught up.
     :param upload: the snapshot that is being appended, or ``None``.
-    :param shared_snapshot: the snapshot for peers.
-    :param seen_s: time at which the newest announcement was folded here.
+    :param shared_snapshot: the snapshot that is kept for peers.
+    :param seen_s: time at which the newest announcement was observed here.
     :param seen_offset: offset of that announcement.
-    :param due_since_s: time since which a new snapshot is due, or -1.
+    :param due_since_s: time since when a new snapshot is due, or -1.
     """
 
     phase: Phase = NEW
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_wire.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_wire.py
@@ -1,5 +1,5 @@
 """
-Messages between entry instances, in MessagePack.
+MessagePack encoding of messages between entry instances.
 
 A message is ``[kind, sender, body]``. Domains add their message types to `MESSAGES`.
 """
@@ -19,10 +19,10 @@
 
 def register_message(message_type: type) -> type:
     """
-    Add a message type to the wire under its class name.
+    Register a message type under its class name.
 
     :param message_type: a ``NamedTuple`` type.
-    :returns: the type, so that it can be used as a decorator.
+    :returns: the type, so that the function can be used as a decorator.
     """
     MESSAGES[message_type.__name__] = message_type
     return message_type
--- a/packages/eelgrassdrum-core/tests/test_fold.py
+++ b/packages/eelgrassdrum-core/tests/test_fold.py
@@ -1,5 +1,5 @@
 """
-The fold: what does not depend on the way records came, and what older and newer programs share.
+Tests of the fold: determinism, upgrades between versions, concurrent writers and snapshots.
 """
 
 from typing import Any
@@ -22,7 +22,7 @@
 
 def put(values: dict[str, int], offset: int, record: Record) -> str:
     """
-    Apply a record of a kind made up for these tests.
+    Apply a record of the kinds that exist only in these tests.
     """
     if record.body["value"] < 0:
         return "negative"
@@ -58,7 +58,7 @@
     position: LogPosition, appliers: dict[str, Any], values: dict[str, int], records: list[Record]
 ) -> None:
     """
-    Fold records from the position's offset on.
+    Fold records from the next offset of the position.
     """
     for record in records:
         fold_record(position, appliers, values, StoredRecord(position.next_offset, record))
@@ -66,7 +66,7 @@
 
 def copied(value: Any) -> Any:
     """
-    Send a value through the snapshot's encoding.
+    Return a copy of a value, made by encoding and decoding it as in a snapshot.
     """
     return msgspec.msgpack.decode(msgspec.msgpack.encode(value), type=type(value))
 
@@ -75,7 +75,7 @@
 @given(record_lists, st.integers(0, 25))
 def check_upgrade(records: list[Record], split: int) -> None:
     """
-    Fold with an older program up to a place, go on with a newer one, and compare.
+    Fold with an older version up to the split, continue with a newer one, and compare.
     """
     direct, direct_values = LogPosition(), {}
     fold_all(direct, NEWER, direct_values, records)
@@ -91,14 +91,14 @@
 
 def test_upgrade_gives_the_same_fold() -> None:
     """
-    A newer program that starts from an older one's fold comes to what it would have folded itself.
+    A newer version that starts from an older version's fold gets the same fold as from the log.
     """
     check_upgrade()
 
 
 def test_upgrade_check_can_fail() -> None:
     """
-    Without the records of unknown kinds the upgraded fold differs, and the comparison shows it.
+    The upgrade check fails when records of unknown kinds are not retained.
     """
     kept = fold_module._retain_unknown
     fold_module._retain_unknown = lambda unknown, stored: None
@@ -108,14 +108,14 @@
         return
     finally:
         fold_module._retain_unknown = kept
-    raise AssertionError("the check did not notice")
+    raise AssertionError("the check did not fail")
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(record_lists)
 def check_one_winner(records: list[Record]) -> None:
     """
-    Compare the accepted records with the rule: each builds on the one before of its subject.
+    Check that each accepted record builds on the previously accepted one of its subject.
     """
     position, values = LogPosition(), {}
     last: dict[str, int] = {}
@@ -129,14 +129,14 @@
 
 def test_of_racing_writers_one_wins() -> None:
     """
-    An accepted record builds on the last accepted one of its subject, so none is overwritten blind.
+    Of concurrent updates of a subject only one is accepted, so no update is lost.
     """
     check_one_winner()
 
 
 def test_unknown_records_are_bounded() -> None:
     """
-    Past the bound the oldest unknown records go, counted by kind, and newer programs are told.
+    Beyond the limit the oldest unknown records are dropped and counted by kind in ``lost``.
     """
     position, values = LogPosition(), {}
     count = fold_module.UNKNOWN_RECORDS_KEPT + 10
@@ -150,7 +150,7 @@
 
 def test_snapshot_gives_the_fold_back() -> None:
     """
-    The fold of every domain survives its encoding, cutting and joining.
+    The fold of all domains survives encoding, splitting into chunks and reassembly.
     """
     folded = make_fold()
     raw = encode_snapshot(folded, APPLIERS, MAKER)
@@ -160,7 +160,7 @@
 
 def test_damaged_snapshots_are_refused() -> None:
     """
-    A flipped bit, a missing chunk, a foreign offset and a newer layout are each refused by name.
+    Corrupt or missing chunks raise `ChunkError`; a wrong offset or layout raises `SnapshotError`.
     """
     raw = encode_snapshot(make_fold(), APPLIERS, MAKER)
     chunk = build_chunk(raw, 0)
@@ -179,7 +179,7 @@
 
 def raised(error: type[Exception], action: Any) -> bool:
     """
-    Tell whether an action raises an error.
+    Return whether an action raises the given error.
     """
     try:
         action()
@@ -190,7 +190,7 @@
 
 def make_fold() -> Fold:
     """
-    Give a fold with a key, a withdrawn key, a rejected record and an unknown one.
+    Build a fold with a key, a withdrawn key, a rejected record and a record of an unknown kind.
     """
     folded = Fold()
     grant = {"workspace": "show", "team": "t", "digest": "0" * 64, "queues": []}
--- a/packages/eelgrassdrum-core/tests/test_freshness.py
+++ b/packages/eelgrassdrum-core/tests/test_freshness.py
@@ -1,5 +1,5 @@
 """
-Proofs of freshness, seen from one instance.
+Tests of the proofs of freshness of one instance.
 """
 
 from eelgrassdrum_core import (
@@ -23,7 +23,7 @@
 
 def make_state() -> State:
     """
-    Give an instance of zone a that has folded one record at 10 s and knows an instance of zone b.
+    Build an instance of zone a that has folded one record at 10 s and knows a peer in zone b.
     """
     state = new_state(Identity(Sender("a1", 1, "a"), "a1", "a1"), Tuning())
     peer = events.ListedInstance("b1", "entry", "b1", "b", incarnation=1, peer_address="b1")
@@ -35,7 +35,7 @@
 
 def make_unheard() -> State:
     """
-    Give the same instance when it also knows a zone of which it has never heard.
+    Build the same instance with a further known zone that it has never had contact with.
     """
     state = make_state()
     far = [
@@ -48,14 +48,14 @@
 
 def stored(offset: int) -> StoredRecord:
     """
-    Give a record that means nothing here.
+    Build a record of an unknown kind.
     """
     return StoredRecord(offset, Record(RecordId("op", 1, offset), "note", f"n/{offset}", 0, {}))
 
 
 def hear(state: State, now_s: float, **fields: object) -> None:
     """
-    Let the instance take a heartbeat of zone b.
+    Deliver a heartbeat from the peer in zone b.
     """
     heartbeat = Heartbeat(now_s, -1.0, "b1", False, 2, -1)._replace(**fields)
     reduce(state, now_s, events.PeerReceived(PEER, heartbeat))
@@ -66,14 +66,14 @@
 
 def test_read_counts_from_its_start(state: State) -> None:
     """
-    An answer that reached the head proves what was so when the read began.
+    A read that reached the head proves freshness as of its start, not of its answer.
     """
     assert proof_age_s(state) == 0.5
 
 
 def test_read_that_did_not_reach_the_head_proves_nothing(state: State) -> None:
     """
-    While records are missing, the proof stays as old as it was.
+    A read that did not reach the head does not renew the proof.
     """
     state.log.read_issued_s = 20.0
     reduce(state, 20.0, events.LogRead((), 5))
@@ -82,7 +82,7 @@
 
 def test_peers_word_counts_from_the_echo(unheard: State) -> None:
     """
-    What a peer has seen counts from the echoed time less its age, however late the message is.
+    A peer's proof is dated by the echo less its age, so a delayed message proves nothing newer.
     """
     hear(unheard, 30.0, echo_s=20.0, head_age_ms=1000)
     assert proof_age_s(unheard) == 11.0
@@ -90,7 +90,7 @@
 
 def test_peers_word_without_echo_proves_nothing(state: State) -> None:
     """
-    A heartbeat that answers none of this instance has no date here.
+    A heartbeat without an echo can't be dated by this instance's clock, so it proves nothing.
     """
     hear(state, 30.0, head_age_ms=0)
     assert proof_age_s(state) == 20.0
@@ -98,7 +98,7 @@
 
 def test_peers_word_waits_for_its_records(unheard: State) -> None:
     """
-    What a peer that has folded further has seen counts once as much is folded here.
+    The proof of a peer that has folded further counts once the same offset is folded here.
     """
     hear(unheard, 30.0, echo_s=29.0, head_age_ms=0, next_offset=3)
     assert proof_age_s(unheard) == 20.0
@@ -109,7 +109,7 @@
 
 def test_touch_counts_only_while_no_peer_is_ahead(state: State) -> None:
     """
-    With all zones in touch the echo is the proof, up to the last one before a peer got ahead.
+    While all zones are reachable, the echo is a proof, until a peer has folded further.
     """
     hear(state, 30.0, echo_s=29.0)
     assert proof_age_s(state) == 1.0
@@ -120,7 +120,7 @@
 
 def test_touch_needs_the_list_of_instances(state: State) -> None:
     """
-    Before the list of instances was read, nobody knows which zones there are.
+    Before the instance list was read, the zones are unknown, so reaching them proves nothing.
     """
     state.membership.listed = False
     hear(state, 30.0, echo_s=29.0)
@@ -129,7 +129,7 @@
 
 def test_withdrawals_are_told_until_the_peer_has_them(state: State) -> None:
     """
-    A peer is told each withdrawal until its heartbeat shows that it has it.
+    Withdrawals are sent to a peer until its heartbeat acknowledges them.
     """
     reduce(state, 11.0, KeyWithdrawalAsked("show", "k1"))
     peer = state.membership.peers["b1"]
--- a/packages/eelgrassdrum-core/tests/test_membership.py
+++ b/packages/eelgrassdrum-core/tests/test_membership.py
@@ -1,5 +1,5 @@
 """
-Heartbeats, relays, suspicion, pauses and aggregates, seen from one instance.
+Tests of heartbeats, relays, suspicion, pauses and aggregates of one instance.
 """
 
 from eelgrassdrum_core import Identity, Sender, State, Tuning, effects, events, new_state, reduce
@@ -13,7 +13,7 @@
 
 def listed(*names: str, incarnation: int = 1) -> events.InstancesListed:
     """
-    Give the platform's list; the first letter of a name is its zone.
+    Build the platform's instance list; the first letter of a name is the zone.
     """
     return events.InstancesListed(
         tuple(
@@ -25,14 +25,14 @@
 
 def make_heartbeat(sent_s: float, echo_s: float = -1.0, **changes: object) -> Heartbeat:
     """
-    Make a heartbeat that says nothing in particular.
+    Build a heartbeat with default contents.
     """
     return Heartbeat(sent_s, echo_s, "peer", False, 1, -1)._replace(**changes)
 
 
 def hear(state: State, now_s: float, name: str, incarnation: int = 1, **changes: object) -> list:
     """
-    Let the instance take a heartbeat, and give the effects.
+    Deliver a heartbeat to the instance, and return the effects.
     """
     message = make_heartbeat(now_s, **{"echo_s": now_s, "peer_address": name, **changes})
     sender = Sender(name, incarnation, name[0])
@@ -41,7 +41,7 @@
 
 def run(state: State, from_s: float, to_s: float, heard: tuple[str, ...] = ()) -> list:
     """
-    Let time pass in ticks of 0.1 s, with heartbeats from some peers before each.
+    Advance time in ticks of 0.1 s, with heartbeats from the given peers before each.
     """
     produced = []
     steps = round((to_s - from_s) * 10)
@@ -55,7 +55,7 @@
 
 def sent(produced: list, address: str) -> list:
     """
-    Give the messages of membership to one address.
+    Return the membership messages to one address.
     """
     sends = [effect for effect in produced if isinstance(effect, effects.SendPeer)]
     messages = [effect.message for effect in sends if effect.address == address]
@@ -64,14 +64,14 @@
 
 def states(state: State) -> dict[str, str]:
     """
-    Give the liveness of each member.
+    Return the liveness of each member.
     """
     return {member.sender.instance: member.state for member in membership.members(state)}
 
 
 def make_state() -> State:
     """
-    Give an instance of zone a that knows a2, a3 and two instances in each of zones b and c.
+    Build an instance of zone a that knows a2, a3 and two instances in each of zones b and c.
     """
     state = new_state(Identity(OWN, "127.0.0.1:1", "127.0.0.1:2"), Tuning())
     reduce(state, 1.0, listed("a1", "a2", "a3", "b1", "b2", "c1", "c2"))
@@ -83,13 +83,13 @@
 
 def test_suspicion_comes_before_death(state: State) -> None:
     """
-    A silent instance is suspect first, and dead only when no other instance hears it.
+    A silent instance is suspect first, and dead only when no other instance gets its heartbeats.
     """
     run(state, 1.0, 2.0, ("a2", "a3"))
     run(state, 2.1, 4.5, ("a2",))
     assert states(state)["a3"] == "suspect"
     run(state, 4.6, 12.0, ("a2",))
-    assert states(state)["a3"] == "suspect", "a2 still hears it"
+    assert states(state)["a3"] == "suspect", "a2 still receives its heartbeats"
     for now_s in (12.1, 12.6):
         hear(state, now_s, "a2", suspects=("a3",))
         reduce(state, now_s, events.Ticked())
@@ -100,7 +100,7 @@
 
 def test_silent_zone_is_not_dead(state: State) -> None:
     """
-    Instances of another zone are suspect while it is silent, and dead only on its own word.
+    Instances of a silent zone are suspect; only their own zone can report them as dead.
     """
     hear(state, 1.1, "b1", members=(MemberView("b1", 1, "alive"), MemberView("b2", 1, "dead")))
     reduce(state, 1.2, events.Ticked())
@@ -111,7 +111,7 @@
 
 def test_old_incarnation_is_fenced(state: State) -> None:
     """
-    A heartbeat of a replaced incarnation changes nothing, and its sender is told.
+    A heartbeat of a replaced incarnation is ignored, and its sender is notified.
     """
     hear(state, 1.1, "a2", incarnation=7)
     produced = hear(state, 1.2, "a2", incarnation=6, next_offset=99)
@@ -121,7 +121,7 @@
 
 def test_superseded_instance_stops(state: State) -> None:
     """
-    An instance that learns of its own newer incarnation stops, and not because of an older one.
+    An instance stops when notified of a newer incarnation of itself, but not of its own one.
     """
     reduce(state, 1.1, events.PeerReceived(Sender("a2", 1, "a"), Superseded(5)))
     assert not state.stopping
@@ -132,7 +132,7 @@
 
 def test_pause_is_seen_before_and_after_the_next_tick(state: State) -> None:
     """
-    A gap between ticks shows at the first event after it, and stays on record.
+    A gap between ticks is visible at the first event after it, and is recorded at the next tick.
     """
     run(state, 1.0, 2.0)
     hear(state, 9.0, "a2")
@@ -146,7 +146,7 @@
 
 def test_own_pause_kills_nobody(state: State) -> None:
     """
-    After a pause of this process the others are not dead for having been unheard during it.
+    A pause of this process does not make peers dead, though no heartbeats arrived during it.
     """
     run(state, 1.0, 2.0, ("a2", "a3"))
     reduce(state, 60.0, events.Ticked())
@@ -155,7 +155,7 @@
 
 def test_heartbeat_from_a_buffer_proves_nothing_new(state: State) -> None:
     """
-    A zone counts as in touch from the echoed time, not from the arrival.
+    A zone's reachability is dated by the echo, so a delayed heartbeat proves nothing newer.
     """
     hear(state, 2.0, "b1", echo_s=1.5)
     hear(state, 50.0, "b1", echo_s=1.5)
@@ -165,7 +165,7 @@
 
 def test_zone_is_in_touch_over_another(state: State) -> None:
     """
-    What a peer says of a third zone counts with its age.
+    A peer's contact with a third zone counts, less the reported age.
     """
     hear(state, 10.0, "b1", zones=(ZoneView("c", 1500),))
     assert state.membership.zones["c"] == 8.5
@@ -174,7 +174,7 @@
 
 def test_all_instances_choose_the_same_relays(state: State) -> None:
     """
-    Instances of a zone that hear each other choose the same relays, and the next once one is gone.
+    Instances that see the same peers choose the same relays, and replace one that is gone.
     """
     other = new_state(Identity(Sender("a2", 1, "a"), "a2", "a2"), Tuning())
     reduce(other, 1.0, listed("a1", "a2", "a3", "b1", "b2", "c1", "c2"))
@@ -190,18 +190,18 @@
 
 def test_relay_turns_to_another_instance(state: State) -> None:
     """
-    A relay that is not answered tries the other instances of the zone.
+    A relay without an answer from another zone tries that zone's next instance.
     """
     produced = run(state, 1.0, 10.0)
     zones = membership.relayed_zones(state)
-    assert zones == ("b", "c"), "alone in its zone, it relays to all"
+    assert zones == ("b", "c"), "the only live instance of its zone relays to all zones"
     assert sent(produced, "b1")
     assert sent(produced, "b2")
 
 
 def test_numbers_reach_zone_and_relays_once(state: State) -> None:
     """
-    Own numbers are told to the zone, sums to other zones, and unchanged ones are not repeated.
+    Values are sent to the zone, sums to other zones, and unchanged values are not sent again.
     """
     aggregates.PROVIDERS["demand"] = lambda _: {"show/judges": 40}
     try:
@@ -217,7 +217,7 @@
 
 def test_numbers_are_summed_while_their_origin_is_in_touch(state: State) -> None:
     """
-    Numbers of zones and instances add up, and count no more once their origin is silent.
+    Values of zones and instances are summed, and ignored once their origin is silent.
     """
     key = aggregates.hash_name("demand", "show/judges")
     from_zone = (aggregates.OriginValues("b", {key: 100}),)
@@ -231,7 +231,7 @@
 
 def test_numbers_are_paced(state: State) -> None:
     """
-    However many numbers change, a second's heartbeats carry no more than the limit.
+    The number of values sent per second stays within the limit, however many change.
     """
     aggregates.PROVIDERS["demand"] = lambda s: {
         f"t{i}": 1 + i + int(s.now_s * 1000) for i in range(5000)
