--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_admission.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_admission.py
@@ -89,7 +89,7 @@
 
 def _take(state: State, req: Request) -> Iterator[object]:
     _overload.count_held(state, req.size_bytes)
-    _joins.remember(state, req)
+    _joins.add_known(state, req)
     if req.idempotent:
         yield Emit(RequestClaimed(req))
     else:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_dispatch.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_dispatch.py
@@ -150,7 +150,7 @@
     """
     Forget a waiting request; let a running one end on its own.
     """
-    req = _joins.abandon(state, event.token)
+    req = _joins.remove_exchange(state, event.token)
     if req is None or any(a.request is req for a in state.requests.attempts.values()):
         return
     _remove_waiting(state, lambda waiting: waiting is req)
@@ -239,7 +239,7 @@
 
 
 def _requeue(state: State, req: Request) -> Iterator[object]:
-    if not _joins.is_waited_for(state, req):
+    if not _joins.has_waiting_callers(state, req):
         yield from _let_go(state, req)
         return
     _overload.count_waiting(state, req, 1)
@@ -255,7 +255,7 @@
 
 def _let_go(state: State, req: Request) -> Iterator[object]:
     _overload.count_held(state, -req.size_bytes)
-    yield from _joins.forget(state, req)
+    yield from _joins.discard_not_run(state, req)
 
 
 def _refuse(state: State, req: Request, refusal: Refusal) -> Iterator[object]:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins.py
@@ -52,7 +52,7 @@
         yield Refuse(event.token, known.refusal or OUTCOME_GONE)
 
 
-def remember(state: State, req: Request) -> KnownRequest:
+def add_known(state: State, req: Request) -> KnownRequest:
     """
     Add a request that this instance has accepted to the known requests.
 
@@ -66,7 +66,7 @@
     return known
 
 
-def abandon(state: State, token: int) -> Request | None:
+def remove_exchange(state: State, token: int) -> Request | None:
     """
     Remove an exchange whose caller has disconnected.
 
@@ -86,7 +86,7 @@
     return known.req
 
 
-def is_waited_for(state: State, req: Request) -> bool:
+def has_waiting_callers(state: State, req: Request) -> bool:
     """
     Return whether any caller still waits for a request.
 
@@ -139,7 +139,7 @@
     for token in _close(state, req, known):
         yield Refuse(token, refusal)
     if refusal.code.run_state == _refusals.NOT_RUN:
-        yield from forget(state, req)
+        yield from discard_not_run(state, req)
     elif req.idempotent:
         del state.joins.known[req.key]
     else:
@@ -161,7 +161,7 @@
     del state.joins.known[req.key]
 
 
-def forget(state: State, req: Request) -> Iterator[object]:
+def discard_not_run(state: State, req: Request) -> Iterator[object]:
     """
     Remove a request that certainly did not run, and release its claim.
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_aggregates.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_aggregates.py
@@ -57,8 +57,8 @@
     aggregates = state.membership.aggregates
     valid_since_s = state.now_s - VALID_S
     return sum(
-        numbers.get(key, 0)
-        for origin, numbers in aggregates.numbers.items()
+        values.get(key, 0)
+        for origin, values in aggregates.values_by_origin.items()
         if aggregates.last_seen_s[origin] >= valid_since_s
     )
 
@@ -88,8 +88,8 @@
     aggregates = state.membership.aggregates
     valid_since_s = state.now_s - VALID_S
     return {
-        origin: numbers.get(key, 0)
-        for origin, numbers in aggregates.numbers.items()
+        origin: values.get(key, 0)
+        for origin, values in aggregates.values_by_origin.items()
         if _is_own_zone(state, origin) and aggregates.last_seen_s[origin] >= valid_since_s
     }
 
@@ -107,7 +107,7 @@
     aggregates = state.membership.aggregates
     if aggregates.last_seen_s.get(origin, 0.0) < state.now_s - VALID_S:
         return 0
-    return aggregates.numbers.get(origin, {}).get(hash_name(aggregate, name), 0)
+    return aggregates.values_by_origin.get(origin, {}).get(hash_name(aggregate, name), 0)
 
 
 def hash_name(aggregate: str, name: str) -> int:
@@ -128,17 +128,17 @@
     :param state: the aggregates are changed in place.
     """
     origin = state.identity.sender.instance
-    numbers = {
+    values = {
         hash_name(aggregate, name): value
         for aggregate, provide in PROVIDERS.items()
         for name, value in provide(state).items()
     }
-    known = state.membership.aggregates.numbers.get(origin, {})
-    gone = {key: 0 for key in known if key not in numbers}
-    _merge_values(state, origin, {**numbers, **gone})
-    for key in {**numbers, **gone}:
+    known = state.membership.aggregates.values_by_origin.get(origin, {})
+    gone = {key: 0 for key in known if key not in values}
+    _merge_values(state, origin, {**values, **gone})
+    for key in {**values, **gone}:
         _update_feed(
-            state.membership.aggregates.zone_feed, FeedKey(origin, key), numbers.get(key, 0)
+            state.membership.aggregates.zone_feed, FeedKey(origin, key), values.get(key, 0)
         )
 
 
@@ -151,10 +151,10 @@
     :param received: the values that have changed.
     """
     for item in received:
-        _merge_values(state, item.origin, item.numbers)
+        _merge_values(state, item.origin, item.values)
         if from_zone == state.identity.sender.zone:
             continue
-        for key, value in item.numbers.items():
+        for key, value in item.values.items():
             _update_feed(state.membership.aggregates.zone_feed, FeedKey(item.origin, key), value)
 
 
@@ -166,7 +166,7 @@
     :param origin: instance of the local zone, or zone.
     :param now_s: current time.
     """
-    if origin in aggregates.numbers:
+    if origin in aggregates.values_by_origin:
         aggregates.last_seen_s[origin] = now_s
 
 
@@ -194,18 +194,18 @@
     for key, entry in islice(reversed(unsent), limit):
         by_origin.setdefault(key.origin, {})[key.key] = entry.value
         peer.feed_sent = entry.sequence
-    return tuple(OriginValues(origin, numbers) for origin, numbers in by_origin.items())
+    return tuple(OriginValues(origin, values) for origin, values in by_origin.items())
 
 
 def _merge_values(state: "State", origin: str, received: Mapping[int, int]) -> None:
     aggregates = state.membership.aggregates
-    numbers = aggregates.numbers.setdefault(origin, {})
+    values = aggregates.values_by_origin.setdefault(origin, {})
     aggregates.last_seen_s[origin] = state.now_s
     for key, value in received.items():
         if value:
-            numbers[key] = value
+            values[key] = value
         else:
-            numbers.pop(key, None)
+            values.pop(key, None)
     if _is_own_zone(state, origin):
         for key in received:
             total = _sum_zone(state, key)
@@ -216,8 +216,8 @@
     aggregates = state.membership.aggregates
     valid_since_s = state.now_s - VALID_S
     return sum(
-        numbers.get(key, 0)
-        for origin, numbers in aggregates.numbers.items()
+        values.get(key, 0)
+        for origin, values in aggregates.values_by_origin.items()
         if _is_own_zone(state, origin) and aggregates.last_seen_s[origin] >= valid_since_s
     )
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_handlers.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_handlers.py
@@ -141,7 +141,7 @@
         _membership_aggregates.mark_origin_seen(
             state.membership.aggregates, sender.instance, state.now_s
         )
-    _membership_aggregates.merge_received(state, sender.zone, heartbeat.numbers)
+    _membership_aggregates.merge_received(state, sender.zone, heartbeat.values)
     if heartbeat.wants_answer:
         yield SendPeer(peer.peer_address, _membership_heartbeat.build_heartbeat(state, peer))
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_messages.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_messages.py
@@ -38,11 +38,11 @@
     Changed aggregate values of one origin.
 
     :param origin: instance of the sender's zone, or zone, that the values belong to.
-    :param numbers: values by hash of their name.
+    :param values: values by hash of their name.
     """
 
     origin: str
-    numbers: dict[int, int]
+    values: dict[int, int]
 
 
 @register_message
@@ -65,7 +65,7 @@
     :param suspects: instances of the sender's zone from which it receives no heartbeats.
     :param members: to other zones, the instances of the sender's zone; within the zone, instances
         of other zones that are dead or leaving or whose liveness has changed recently.
-    :param numbers: changed aggregate values.
+    :param values: changed aggregate values.
     :param withdrawn: names of withdrawn keys whose withdrawal is not yet known to be in the log.
     :param withdrawn_version: version of the sender's set of such withdrawals.
     :param withdrawn_seen: version of the receiver's set that the sender has.
@@ -81,7 +81,7 @@
     zones: tuple[ZoneView, ...] = ()
     suspects: tuple[str, ...] = ()
     members: tuple[MemberView, ...] = ()
-    numbers: tuple[OriginValues, ...] = ()
+    values: tuple[OriginValues, ...] = ()
     withdrawn: tuple[str, ...] = ()
     withdrawn_version: int = 0
     withdrawn_seen: int = 0
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_state.py
@@ -113,13 +113,13 @@
     """
     Aggregate values that the entry instances exchange.
 
-    :param numbers: values by origin and hash of their name.
+    :param values_by_origin: values by origin and hash of their name.
     :param last_seen_s: time at which each origin was last known to be reachable.
     :param zone_feed: values to send to instances of the local zone.
     :param relay_feed: sums of the local zone to send to other zones.
     """
 
-    numbers: dict[str, dict[int, int]] = msgspec.field(default_factory=dict)
+    values_by_origin: dict[str, dict[int, int]] = msgspec.field(default_factory=dict)
     last_seen_s: dict[str, float] = msgspec.field(default_factory=dict)
     zone_feed: Feed = msgspec.field(default_factory=Feed)
     relay_feed: Feed = msgspec.field(default_factory=Feed)
--- a/packages/eelgrassdrum-core/tests/test_fold.py
+++ b/packages/eelgrassdrum-core/tests/test_fold.py
@@ -17,10 +17,10 @@
 from eelgrassdrum_core._state import Fold
 
 MAKER = Sender("a1", 1, "a")
-RACERS = ("op-1", "op-2", "op-3")
+WRITERS = ("op-1", "op-2", "op-3")
 
 
-def put(values: dict[str, int], offset: int, record: Record) -> str:
+def apply_value(values: dict[str, int], offset: int, record: Record) -> str:
     """
     Apply a record of the kinds that exist only in these tests.
     """
@@ -30,8 +30,8 @@
     return ""
 
 
-NEWER = {"old": put, "new": put}
-OLDER = {"old": put}
+NEWER = {"old": apply_value, "new": apply_value}
+OLDER = {"old": apply_value}
 
 record_lists = st.lists(
     st.builds(
@@ -42,7 +42,7 @@
             base,
             {"value": value},
         ),
-        st.sampled_from(RACERS),
+        st.sampled_from(WRITERS),
         st.integers(1, 2),
         st.integers(1, 6),
         st.sampled_from(("old", "new")),
@@ -64,7 +64,7 @@
         fold_record(position, appliers, values, StoredRecord(position.next_offset, record))
 
 
-def copied(value: Any) -> Any:
+def round_trip(value: Any) -> Any:
     """
     Return a copy of a value, made by encoding and decoding it as in a snapshot.
     """
@@ -81,7 +81,7 @@
     fold_all(direct, NEWER, direct_values, records)
     upgraded, values = LogPosition(), {}
     fold_all(upgraded, OLDER, values, records[:split])
-    upgraded = copied(upgraded)
+    upgraded = round_trip(upgraded)
     apply_unknown_records(upgraded, NEWER, values)
     fold_all(upgraded, NEWER, values, records[split:])
     assert values == direct_values
@@ -113,7 +113,7 @@
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(record_lists)
-def check_one_winner(records: list[Record]) -> None:
+def check_no_lost_update(records: list[Record]) -> None:
     """
     Check that each accepted record builds on the previously accepted one of its subject.
     """
@@ -127,11 +127,11 @@
             last[record.subject] = decision.offset
 
 
-def test_of_racing_writers_one_wins() -> None:
+def test_concurrent_writers_lose_no_update() -> None:
     """
     Of concurrent updates of a subject only one is accepted, so no update is lost.
     """
-    check_one_winner()
+    check_no_lost_update()
 
 
 def test_unknown_records_are_bounded() -> None:
@@ -170,14 +170,16 @@
         {1: chunk._replace(number=1)},
         {0: chunk._replace(chunks=2)},
     )
-    assert [raised(ChunkError, lambda c=c: join_chunks(c)) for c in damaged] == [True] * 4
+    assert [does_raise(ChunkError, lambda c=c: join_chunks(c)) for c in damaged] == [True] * 4
     newer = raw._replace(data=raw.data.replace(b"format\x01", b"format\x02"))
     unreadable = (raw._replace(offset=raw.offset + 1), newer, raw._replace(data=b"\xc1"))
-    refused = [raised(SnapshotError, lambda r=r: decode_snapshot(r, APPLIERS)) for r in unreadable]
+    refused = [
+        does_raise(SnapshotError, lambda r=r: decode_snapshot(r, APPLIERS)) for r in unreadable
+    ]
     assert refused == [True] * 3
 
 
-def raised(error: type[Exception], action: Any) -> bool:
+def does_raise(error: type[Exception], action: Any) -> bool:
     """
     Return whether an action raises the given error.
     """
--- a/packages/eelgrassdrum-core/tests/test_freshness.py
+++ b/packages/eelgrassdrum-core/tests/test_freshness.py
@@ -33,7 +33,7 @@
     return state
 
 
-def make_unheard() -> State:
+def make_state_with_unreached_zone() -> State:
     """
     Build the same instance with a further known zone that it has never had contact with.
     """
@@ -53,7 +53,7 @@
     return StoredRecord(offset, Record(RecordId("op", 1, offset), "note", f"n/{offset}", 0, {}))
 
 
-def hear(state: State, now_s: float, **fields: object) -> None:
+def deliver_heartbeat(state: State, now_s: float, **fields: object) -> None:
     """
     Deliver a heartbeat from the peer in zone b.
     """
@@ -61,7 +61,7 @@
     reduce(state, now_s, events.PeerReceived(PEER, heartbeat))
 
 
-FIXTURES = {"state": make_state, "unheard": make_unheard}
+FIXTURES = {"state": make_state, "unreached": make_state_with_unreached_zone}
 
 
 def test_read_counts_from_its_start(state: State) -> None:
@@ -80,61 +80,61 @@
     assert proof_age_s(state) == 10.0
 
 
-def test_peers_word_counts_from_the_echo(unheard: State) -> None:
+def test_peer_proof_counts_from_the_echo(unreached: State) -> None:
     """
     A peer's proof is dated by the echo less its age, so a delayed message proves nothing newer.
     """
-    hear(unheard, 30.0, echo_s=20.0, head_age_ms=1000)
-    assert proof_age_s(unheard) == 11.0
+    deliver_heartbeat(unreached, 30.0, echo_s=20.0, head_age_ms=1000)
+    assert proof_age_s(unreached) == 11.0
 
 
-def test_peers_word_without_echo_proves_nothing(state: State) -> None:
+def test_peer_proof_without_echo_proves_nothing(state: State) -> None:
     """
     A heartbeat without an echo can't be dated by this instance's clock, so it proves nothing.
     """
-    hear(state, 30.0, head_age_ms=0)
+    deliver_heartbeat(state, 30.0, head_age_ms=0)
     assert proof_age_s(state) == 20.0
 
 
-def test_peers_word_waits_for_its_records(unheard: State) -> None:
+def test_peer_proof_waits_for_its_records(unreached: State) -> None:
     """
     The proof of a peer that has folded further counts once the same offset is folded here.
     """
-    hear(unheard, 30.0, echo_s=29.0, head_age_ms=0, next_offset=3)
-    assert proof_age_s(unheard) == 20.0
-    unheard.log.read_issued_s = 15.0
-    reduce(unheard, 30.5, events.LogRead((stored(2),), 9))
-    assert proof_age_s(unheard) == 1.5
+    deliver_heartbeat(unreached, 30.0, echo_s=29.0, head_age_ms=0, next_offset=3)
+    assert proof_age_s(unreached) == 20.0
+    unreached.log.read_issued_s = 15.0
+    reduce(unreached, 30.5, events.LogRead((stored(2),), 9))
+    assert proof_age_s(unreached) == 1.5
 
 
-def test_touch_counts_only_while_no_peer_is_ahead(state: State) -> None:
+def test_reachable_zones_count_only_while_no_peer_is_ahead(state: State) -> None:
     """
     While all zones are reachable, the echo is a proof, until a peer has folded further.
     """
-    hear(state, 30.0, echo_s=29.0)
+    deliver_heartbeat(state, 30.0, echo_s=29.0)
     assert proof_age_s(state) == 1.0
-    hear(state, 31.0, echo_s=30.9, next_offset=9)
-    hear(state, 40.0, echo_s=39.0, next_offset=9)
+    deliver_heartbeat(state, 31.0, echo_s=30.9, next_offset=9)
+    deliver_heartbeat(state, 40.0, echo_s=39.0, next_offset=9)
     assert proof_age_s(state) == 11.0
 
 
-def test_touch_needs_the_list_of_instances(state: State) -> None:
+def test_reachable_zones_need_the_instance_list(state: State) -> None:
     """
     Before the instance list was read, the zones are unknown, so reaching them proves nothing.
     """
     state.membership.listed = False
-    hear(state, 30.0, echo_s=29.0)
+    deliver_heartbeat(state, 30.0, echo_s=29.0)
     assert proof_age_s(state) == 20.0
 
 
-def test_withdrawals_are_told_until_the_peer_has_them(state: State) -> None:
+def test_withdrawals_are_sent_until_acknowledged(state: State) -> None:
     """
     Withdrawals are sent to a peer until its heartbeat acknowledges them.
     """
     reduce(state, 11.0, KeyWithdrawalAsked("show", "k1"))
     peer = state.membership.peers["b1"]
     assert unacknowledged_withdrawals(state, peer.withdrawn_seen) == ("show/k1",)
-    hear(state, 12.0, withdrawn_seen=1)
+    deliver_heartbeat(state, 12.0, withdrawn_seen=1)
     assert unacknowledged_withdrawals(state, peer.withdrawn_seen) == ()
     reduce(state, 13.0, KeyWithdrawalAsked("show", "k2"))
     assert unacknowledged_withdrawals(state, peer.withdrawn_seen) == ("show/k1", "show/k2")
