--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fold.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fold.py
@@ -53,7 +53,7 @@
     :param record: the record.
     :param accepted: whether it took effect.
     :param reason: why it was rejected, or empty.
-    :param overtaken_by: offset of the accepted record that it conflicts with, or 0.
+    :param overtaken_by: offset of the record that takes precedence over it, or 0.
     """
 
     offset: int
@@ -70,7 +70,7 @@
     :param offset: offset of the record.
     :param accepted: whether it took effect.
     :param reason: why it was rejected, or empty.
-    :param overtaken_by: offset of the accepted record that it conflicts with, or 0.
+    :param overtaken_by: offset of the record that takes precedence over it, or 0.
     :param subject: subject of the record, which determines who may see the verdict.
     """
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness_state.py
@@ -18,7 +18,7 @@
         folded further, or -1.
     :param behind_since_s: time since when a peer may have folded further, or -1.
     :param withdrawn: withdrawals not yet known to be in the log, with the time of their arrival;
-        the time is reset when this instance asks for the record again.
+        the time is reset when this instance proposes the record again.
     :param version: number of additions to ``withdrawn``.
     """
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness_withdrawals.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness_withdrawals.py
@@ -45,7 +45,7 @@
 
 def on_withdrawal_requested(state: State, event: KeyWithdrawalAsked) -> Iterator[object]:
     """
-    Withdraw the key here, propagate it to the peers, and request a record in the log.
+    Withdraw the key here, propagate it to the peers, and propose a record for the log.
     """
     name = key_name(event.workspace, event.key_id)
     if is_withdrawn(state, name):
@@ -89,7 +89,7 @@
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Request records for withdrawals that have not appeared in the log in time.
+    Propose records for withdrawals that have not appeared in the log in time.
     """
     if not state.freshness.withdrawn or not reads_log(state):
         return
