--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_catch_up.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_catch_up.py
@@ -142,19 +142,19 @@
     yield SendPeer(peer.peer_address, answer)
 
 
-def _apply_records(state: State, peer: Peer, given: RecordsGiven) -> Iterator[object]:
+def _apply_records(state: State, peer: Peer, reply: RecordsGiven) -> Iterator[object]:
     if peer.sender.instance == state.catch_up.peer:
         state.catch_up.peer = ""
     if state.snapshots.phase != WHOLE:
         return
     before = state.fold.position.next_offset
-    for stored in given.records:
+    for stored in reply.records:
         yield from fold_stored(state, stored)
     own_next = state.fold.position.next_offset
     state.catch_up.records_taken += own_next - before
-    if given.caught_up and own_next >= given.next_offset:
+    if reply.caught_up and own_next >= reply.next_offset:
         state.log.caught_up = True
-    elif given.first > own_next and not reads_log(state):
+    elif reply.first > own_next and not reads_log(state):
         yield Emit(SnapshotNeeded("peer holds no older records"))
     elif own_next > before:
         yield from _request_records(state)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness.py
@@ -124,10 +124,10 @@
     own_zone = state.identity.sender.zone
     others = {peer.sender.zone for peer in needed} - {own_zone}
     if others:
-        heard = [membership.zones.get(zone, NEVER_S) for zone in others]
+        contact_times_s = [membership.zones.get(zone, NEVER_S) for zone in others]
     else:
-        heard = [peer.confirmed_s for peer in needed]
-    oldest_s = min(heard, default=state.now_s)
+        contact_times_s = [peer.confirmed_s for peer in needed]
+    oldest_s = min(contact_times_s, default=state.now_s)
     behind_s = state.freshness.behind_since_s
     return oldest_s if behind_s == NEVER_S else min(oldest_s, behind_s)
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness_withdrawals.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness_withdrawals.py
@@ -51,7 +51,7 @@
     if is_withdrawn(state, name):
         return
     yield from _add(state, name)
-    yield _request_record(name)
+    yield _propose_record(name)
 
 
 def on_heartbeat(state: State, event: PeerReceived) -> Iterator[object]:
@@ -97,7 +97,7 @@
     for name, learned_s in state.freshness.withdrawn.items():
         if state.now_s - learned_s >= takeover_delay_s:
             state.freshness.withdrawn[name] = state.now_s
-            yield _request_record(name)
+            yield _propose_record(name)
 
 
 def unacknowledged_withdrawals(state: State, withdrawn_seen: int) -> tuple[str, ...]:
@@ -151,7 +151,7 @@
     yield WriteLog("key.withdrawn_ahead", {"key": name})
 
 
-def _request_record(name: str) -> Emit:
+def _propose_record(name: str) -> Emit:
     workspace, _, key_id = name.partition("/")
     body = {"workspace": workspace, "key_id": key_id}
     return Emit(RecordWanted(KEY_WITHDRAWN, f"key/{name}", None, body))
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_votes.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_votes.py
@@ -140,7 +140,7 @@
     keys = sorted(claims)
     start = bisect_left(keys, from_key)
     end = start + CLAIMS_PER_MESSAGE
-    copies = tuple(
+    page = tuple(
         ClaimSnapshot(
             key, *claim.holder, claim.number, claim.body_hash, claim.expires_s - state.now_s
         )
@@ -149,30 +149,30 @@
     next_key = keys[end] if end < len(keys) else None
     joins = state.joins
     cold_start = joins.is_cold_start and joins.starting.get(asker.instance) == asker.incarnation
-    return ClaimsTold(from_key, next_key, joins.complete, cold_start, copies)
+    return ClaimsTold(from_key, next_key, joins.complete, cold_start, page)
 
 
-def _merge_claims(state: State, sender: Sender, told: ClaimsTold) -> Iterator[object]:
+def _merge_claims(state: State, sender: Sender, reply: ClaimsTold) -> Iterator[object]:
     joins = state.joins
     address = joins.addresses.get(sender.instance)
     # An instance that is not in the list yet is asked again once it is listed.
     if (
         joins.complete
         or address is None
-        or told.from_key != joins.next_keys.get(sender.instance, 0)
+        or reply.from_key != joins.next_keys.get(sender.instance, 0)
     ):
         return
-    for copy in told.claims:
-        if copy.remaining_s > 0 and copy.key not in joins.claims:
-            holder = _intern_holder(joins, Holder(copy.instance, copy.incarnation))
-            expires_s = state.now_s + copy.remaining_s
-            joins.claims[copy.key] = Claim(holder, copy.number, copy.body_hash, expires_s)
-    if told.next_key is not None:
-        joins.next_keys[sender.instance] = told.next_key
-        yield SendPeer(address, ClaimsWanted(told.next_key))
+    for claim in reply.claims:
+        if claim.remaining_s > 0 and claim.key not in joins.claims:
+            holder = _intern_holder(joins, Holder(claim.instance, claim.incarnation))
+            expires_s = state.now_s + claim.remaining_s
+            joins.claims[claim.key] = Claim(holder, claim.number, claim.body_hash, expires_s)
+    if reply.next_key is not None:
+        joins.next_keys[sender.instance] = reply.next_key
+        yield SendPeer(address, ClaimsWanted(reply.next_key))
         return
     joins.next_keys[sender.instance] = 0
-    if told.complete and not told.cold_start:
+    if reply.complete and not reply.cold_start:
         joins.recovered.add(sender.instance)
     else:
         joins.starting[sender.instance] = sender.incarnation
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership.py
@@ -70,8 +70,8 @@
     :returns: names of zones.
     """
     since_s = state.now_s - ZONE_REACHABLE_S
-    heard = {zone for zone, at_s in state.membership.zones.items() if at_s >= since_s}
-    return frozenset(heard | {state.identity.sender.zone})
+    reached = {zone for zone, at_s in state.membership.zones.items() if at_s >= since_s}
+    return frozenset(reached | {state.identity.sender.zone})
 
 
 def known_zones(state: State) -> frozenset[str]:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_handlers.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_handlers.py
@@ -29,7 +29,7 @@
     membership.tick_s = state.now_s
     if state.now_s - membership.zone_heartbeats_sent_s >= ZONE_HEARTBEAT_INTERVAL_S:
         membership.zone_heartbeats_sent_s = state.now_s
-        yield from _update_liveness(state)
+        yield from _update_and_log_liveness(state)
         _membership_aggregates.refresh_local_values(state)
         yield from _send_zone_heartbeats(state)
     if state.now_s - membership.relay_heartbeats_sent_s >= RELAY_HEARTBEAT_INTERVAL_S:
@@ -72,7 +72,7 @@
     yield WriteLog("process.paused", {"gap_s": gap_s})
 
 
-def _update_liveness(state: State) -> Iterator[object]:
+def _update_and_log_liveness(state: State) -> Iterator[object]:
     for member in _membership.update_liveness(state):
         fields = {"instance": member.sender.instance, "state": member.state}
         yield WriteLog("member.changed", fields)
@@ -104,12 +104,12 @@
 
 def _choose_target(state: State, zone: str) -> Peer | None:
     peers = state.membership.peers
-    inside = [p for p in peers.values() if p.sender.zone == zone]
-    usable = [p.sender for p in inside if p.state not in (DEAD, LEAVING)]
+    in_zone = [p for p in peers.values() if p.sender.zone == zone]
+    usable = [p.sender for p in in_zone if p.state not in (DEAD, LEAVING)]
     if not usable:
         return None
     ranked = _membership.rank(f"target/{state.identity.sender.zone}", usable)
-    last_s = max(max(p.last_seen_s, p.known_s) for p in inside)
+    last_s = max(max(p.last_seen_s, p.known_s) for p in in_zone)
     shift = int((state.now_s - last_s) // TARGET_SILENCE_TIMEOUT_S)
     return peers[ranked[shift % len(ranked)].instance]
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_heartbeat.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_heartbeat.py
@@ -103,7 +103,7 @@
 
 def _build_changed_members(state: State) -> tuple[MemberView, ...]:
     own_zone = state.identity.sender.zone
-    news = [
+    changed = [
         MemberView(peer.sender.instance, peer.sender.incarnation, peer.state)
         for peer in state.membership.peers.values()
         if peer.sender.zone != own_zone
@@ -112,7 +112,7 @@
             peer.state in (DEAD, LEAVING) or state.now_s - peer.changed_s < LIVENESS_CHANGE_REPORT_S
         )
     ]
-    return tuple(news[:MAX_MEMBERS_PER_HEARTBEAT])
+    return tuple(changed[:MAX_MEMBERS_PER_HEARTBEAT])
 
 
 def _select_values(state: State, peer: Peer, in_zone: bool) -> tuple[OriginValues, ...]:
@@ -125,5 +125,5 @@
         limit = _membership_aggregates.RELAY_VALUES_PER_S * RELAY_HEARTBEAT_INTERVAL_S
         receivers = membership.relay_receivers
         feed = membership.aggregates.relay_feed
-    share = max(1, int(limit / max(1, receivers)))
-    return _membership_aggregates.select_feed_values(feed, peer, share, state.now_s)
+    peer_limit = max(1, int(limit / max(1, receivers)))
+    return _membership_aggregates.select_feed_values(feed, peer, peer_limit, state.now_s)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_outbox.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_outbox.py
@@ -39,7 +39,7 @@
 REASON_OUTBOX_FULL = "outbox_full"
 
 
-def on_wanted(state: State, event: RecordWanted) -> Iterator[object]:
+def on_proposed(state: State, event: RecordWanted) -> Iterator[object]:
     """
     Assign a sequence number to the record and put it in its lane.
     """
@@ -184,7 +184,7 @@
 
 
 HANDLERS: HandlerTable = {
-    RecordWanted: on_wanted,
+    RecordWanted: on_proposed,
     AppendDone: on_done,
     AppendFailed: on_failed,
     LogReached: on_reached,
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_peer.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_peer.py
@@ -118,26 +118,20 @@
 
     :param state: the state.
     """
-    shared_snapshot = state.snapshots.shared_snapshot
-    if (
-        shared_snapshot.raw is not None
-        and state.now_s - shared_snapshot.made_s > 2 * SHARED_SNAPSHOT_REUSE_S
-    ):
-        shared_snapshot.raw = None
+    shared = state.snapshots.shared_snapshot
+    if shared.raw is not None and state.now_s - shared.made_s > 2 * SHARED_SNAPSHOT_REUSE_S:
+        shared.raw = None
 
 
 def _get_shared_snapshot(state: State, snapshot: str) -> RawSnapshot | None:
-    shared_snapshot = state.snapshots.shared_snapshot
+    shared = state.snapshots.shared_snapshot
     if snapshot:
-        is_held = shared_snapshot.raw is not None and shared_snapshot.raw.snapshot == snapshot
-        return shared_snapshot.raw if is_held else None
-    if (
-        shared_snapshot.raw is None
-        or state.now_s - shared_snapshot.made_s >= SHARED_SNAPSHOT_REUSE_S
-    ):
-        shared_snapshot.raw = encode_snapshot(state.fold, APPLIERS, state.identity.sender)
-        shared_snapshot.made_s = state.now_s
-    return shared_snapshot.raw
+        is_held = shared.raw is not None and shared.raw.snapshot == snapshot
+        return shared.raw if is_held else None
+    if shared.raw is None or state.now_s - shared.made_s >= SHARED_SNAPSHOT_REUSE_S:
+        shared.raw = encode_snapshot(state.fold, APPLIERS, state.identity.sender)
+        shared.made_s = state.now_s
+    return shared.raw
 
 
 def _candidates(state: State) -> list[Member]:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_search.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_search.py
@@ -173,10 +173,10 @@
         return
     search.from_log.setdefault(chunk.snapshot, {})[chunk.number] = chunk
     if len(search.from_log) > MAX_CANDIDATE_SNAPSHOTS:
-        search.from_log.pop(min(search.from_log, key=lambda name: _offset(state, name)))
+        search.from_log.pop(min(search.from_log, key=lambda name: _snapshot_offset(state, name)))
 
 
-def _offset(state: State, snapshot: str) -> int:
+def _snapshot_offset(state: State, snapshot: str) -> int:
     chunks = state.snapshots.search.from_log[snapshot]
     return next(iter(chunks.values())).offset
 
@@ -184,7 +184,7 @@
 def _install_newest(state: State) -> Iterator[object]:
     search = state.snapshots.search
     complete = [name for name, chunks in search.from_log.items() if is_complete(chunks)]
-    for name in sorted(complete, key=lambda name: _offset(state, name), reverse=True):
+    for name in sorted(complete, key=lambda name: _snapshot_offset(state, name), reverse=True):
         try:
             yield from install(state, join_chunks(search.from_log[name]))
         except (ChunkError, SnapshotError) as exc:
--- a/packages/eelgrassdrum-core/tests/test_fold.py
+++ b/packages/eelgrassdrum-core/tests/test_fold.py
@@ -100,14 +100,14 @@
     """
     The upgrade check fails when records of unknown kinds are not retained.
     """
-    kept = fold_module._retain_unknown
+    original = fold_module._retain_unknown
     fold_module._retain_unknown = lambda unknown, stored: None
     try:
         check_upgrade()
     except AssertionError:
         return
     finally:
-        fold_module._retain_unknown = kept
+        fold_module._retain_unknown = original
     raise AssertionError("the check did not fail")
 
 
--- a/packages/eelgrassdrum-core/tests/test_membership.py
+++ b/packages/eelgrassdrum-core/tests/test_membership.py
@@ -41,7 +41,7 @@
     return reduce(state, now_s, events.PeerReceived(sender, message))[1]
 
 
-def run_ticks(state: State, from_s: float, to_s: float, heard: tuple[str, ...] = ()) -> list:
+def run_ticks(state: State, from_s: float, to_s: float, senders: tuple[str, ...] = ()) -> list:
     """
     Advance time in ticks of 0.1 s, with heartbeats from the given peers before each.
     """
@@ -49,7 +49,7 @@
     steps = round((to_s - from_s) * 10)
     for step in range(steps + 1):
         now_s = from_s + step / 10
-        for name in heard:
+        for name in senders:
             produced += deliver_heartbeat(state, now_s, name)
         produced += reduce(state, now_s, events.Ticked())[1]
     return produced
@@ -217,8 +217,8 @@
     finally:
         del aggregates.PROVIDERS["demand"]
     key = aggregates.hash_name("demand", "show/judges")
-    told = [number for message in sent_messages(produced, "a3") for number in message.values]
-    assert [(item.origin, item.values) for item in told] == [("a1", {key: 40})]
+    reported = [number for message in sent_messages(produced, "a3") for number in message.values]
+    assert [(item.origin, item.values) for item in reported] == [("a1", {key: 40})]
     assert aggregates.fleet_number(state, "demand", "show/judges") == 40
 
 
