--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins.py
@@ -17,7 +17,7 @@
 MAX_KNOWN = 50_000
 MAX_KEPT_BYTES = 16 * 1024 * 1024
 FAILED_STATUS = 500
-OUTCOME_GONE = Refusal(_refusals.OUTCOME_UNKNOWN, None, "request has run; answer no longer kept")
+OUTCOME_GONE = Refusal(_refusals.OUTCOME_UNKNOWN, None, "it has run; its answer is kept no more")
 
 
 def is_full(state: State) -> bool:
