--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_dispatch.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_dispatch.py
@@ -151,7 +151,7 @@
     """
     Remove a waiting request whose caller has disconnected; a running attempt is not cancelled.
     """
-    req = _joins.abandon(state, event.token)
+    req = _joins.remove_exchange(state, event.token)
     if req is None or any(a.request is req for a in state.requests.attempts.values()):
         return
     _remove_waiting(state, lambda waiting: waiting is req)
@@ -240,7 +240,7 @@
 
 
 def _requeue(state: State, req: Request) -> Iterator[object]:
-    if not _joins.is_waited_for(state, req):
+    if not _joins.has_waiting_callers(state, req):
         yield from _release_request(state, req)
         return
     _overload.count_waiting(state, req, 1)
@@ -256,7 +256,7 @@
 
 def _release_request(state: State, req: Request) -> Iterator[object]:
     _overload.add_held_bytes(state, -req.size_bytes)
-    yield from _joins.forget(state, req)
+    yield from _joins.discard_not_run(state, req)
 
 
 def _refuse(state: State, req: Request, refusal: Refusal) -> Iterator[object]:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_freshness.py
@@ -1,10 +1,11 @@
 """
-Whether this instance can prove that it has heard of every withdrawn key.
+Whether this instance can prove that it knows every withdrawn key.
 
-There are two proofs, and the newer one counts. Either all records that were in the log at some
-moment are folded here, as read from the log or told by a peer; or at some moment every zone was
-in touch, directly or over relays, so that a withdrawal known in any of them has come here. A
-message is dated by the echo that it carries, so one that waited in a buffer proves nothing new.
+There are two kinds of proof, and the newer one counts. Either this instance has folded every
+record that the log held at some time, as read from the log or reported by a peer; or every zone
+was reachable at some time, directly or through relays, so that a withdrawal known in any of them
+has arrived here. A message is dated by the echoed timestamp that it carries, so a message that was
+delayed in a buffer proves nothing new.
 """
 
 from collections.abc import Iterator
@@ -21,90 +22,92 @@
 from ._state import State
 
 UNVERIFIED_RETRY_S = 2.0
-# A claim that could not be used for so long gives way to a newer one.
-CLAIM_KEPT_S = 2.0
+# A peer's proof that could not be used for this time is replaced by a newer one.
+PEER_PROOF_KEPT_S = 2.0
 
 
 def keyed_work_allowed(state: State, team: Team) -> bool:
     """
-    Tell whether keys of a team may be taken.
+    Return whether requests with keys of a team may be accepted.
 
     :param state: the state.
-    :param team: the team; its grace extends the bound.
-    :returns: whether the newest proof is young enough.
+    :param team: the team; its grace period extends the allowed age.
+    :returns: whether the newest proof is recent enough.
     """
     if state.membership.superseded:
         return False
     return proof_age_s(state) <= state.tuning.key_freshness_s + team.grace_s
 
 
-def refuse_unverified(state: State) -> Refusal:
+def unverified_refusal(state: State) -> Refusal:
     """
-    Give the refusal of a keyed request when keys can't be taken.
+    Return the refusal of a keyed request while keys can't be verified.
 
     :param state: the state.
-    :returns: the refusal; callers spread their return over some time.
+    :returns: the refusal; its retry delay has jitter, so that callers don't return all at once.
     """
     return Refusal(_refusals.KEY_UNVERIFIED, UNVERIFIED_RETRY_S * (0.75 + state.rng.random() / 2))
 
 
 def proof_age_s(state: State) -> float:
     """
-    Give the age of the newest proof of freshness.
+    Return the age of the newest proof of freshness.
 
     :param state: the state.
-    :returns: seconds, infinite when there never was one.
+    :returns: age in seconds, infinite when there is no proof yet.
     """
-    proved_s = max(state.freshness.head_s, _in_touch_s(state))
+    proved_s = max(state.freshness.log_proof_s, _all_zones_reached_s(state))
     return float("inf") if proved_s == NEVER_S else state.now_s - proved_s
 
 
 def is_withdrawn(state: State, name: str) -> bool:
     """
-    Tell whether a key's withdrawal is known, in the log or ahead of it.
+    Return whether a key is known to be withdrawn, from the log or from a peer before the log.
 
     :param state: the state.
     :param name: ``WORKSPACE/KEYID``.
-    :returns: whether it is.
+    :returns: whether it is withdrawn.
     """
     return name in state.freshness.withdrawn or name in state.fold.keys.withdrawn
 
 
 def on_reached(state: State, event: LogReached) -> Iterator[object]:
     """
-    Count a read of the log up to its head as a proof.
+    Record a proof after the log was read up to its head.
     """
-    state.freshness.head_s = max(state.freshness.head_s, event.as_of_s)
+    state.freshness.log_proof_s = max(state.freshness.log_proof_s, event.as_of_s)
     return iter(())
 
 
 def on_heartbeat(state: State, event: PeerReceived) -> Iterator[object]:
     """
-    Count what a peer has seen of the log as a proof, once as much is folded here.
+    Record a peer's proof; it takes effect once the same offset is folded here.
     """
-    beat = event.message
-    if isinstance(beat, Heartbeat) and _is_current(state, event.sender):
-        _note_behind(state)
-        if beat.echo_s != NEVER_S and beat.head_age_ms >= 0:
-            _note_claim(state, beat.echo_s - beat.head_age_ms / 1000, beat.next_offset)
+    heartbeat = event.message
+    if isinstance(heartbeat, Heartbeat) and _is_current(state, event.sender):
+        _update_behind_since(state)
+        if heartbeat.echo_s != NEVER_S and heartbeat.head_age_ms >= 0:
+            _record_peer_proof(
+                state, heartbeat.echo_s - heartbeat.head_age_ms / 1000, heartbeat.next_offset
+            )
     return iter(())
 
 
 def on_folded(state: State, event: RecordFolded) -> Iterator[object]:
     """
-    Use a peer's claim when the fold has come so far.
+    Apply a peer's proof if the fold has reached its offset.
     """
-    _note_behind(state)
-    _use_claim(state)
+    _update_behind_since(state)
+    _apply_peer_proof(state)
     return iter(())
 
 
 def on_replaced(state: State, event: FoldReplaced) -> Iterator[object]:
     """
-    Use a peer's claim when the fold has come so far.
+    Apply a peer's proof if the fold has reached its offset.
     """
-    _note_behind(state)
-    _use_claim(state)
+    _update_behind_since(state)
+    _apply_peer_proof(state)
     return iter(())
 
 
@@ -113,60 +116,63 @@
     return peer is not None and peer.sender == sender
 
 
-def _in_touch_s(state: State) -> float:
+def _all_zones_reached_s(state: State) -> float:
     membership = state.membership
     if not membership.listed or not state.log.caught_up:
         return NEVER_S
-    needed = [peer for peer in membership.peers.values() if _may_have_withdrawn(peer)]
+    needed = [peer for peer in membership.peers.values() if _may_know_withdrawals(peer)]
     own_zone = state.identity.sender.zone
     others = {peer.sender.zone for peer in needed} - {own_zone}
     if others:
-        heard = [membership.zones.get(zone, NEVER_S) for zone in others]
+        contact_times_s = [membership.zones.get(zone, NEVER_S) for zone in others]
     else:
-        heard = [peer.confirmed_s for peer in needed]
-    oldest_s = min(heard, default=state.now_s)
+        contact_times_s = [peer.confirmed_s for peer in needed]
+    oldest_s = min(contact_times_s, default=state.now_s)
     behind_s = state.freshness.behind_since_s
     return oldest_s if behind_s == NEVER_S else min(oldest_s, behind_s)
 
 
-def _may_have_withdrawn(peer: Peer) -> bool:
+def _may_know_withdrawals(peer: Peer) -> bool:
     """
-    Tell whether an instance may know of a withdrawal that is not known here.
+    Return whether an instance may know of a withdrawal that is not known here.
 
-    A silent instance counts as dead after some seconds, but to an instance that is cut off all
-    others are silent, so only the platform's list or a goodbye proves that one is gone.
+    An instance that sends no heartbeats counts as dead after some seconds. But an instance behind
+    a network partition receives no heartbeats at all, so only the platform's instance list or a
+    heartbeat that announces leaving proves that a peer is gone.
     """
     return peer.state != LEAVING and (peer.listed or peer.state != DEAD)
 
 
-def _note_behind(state: State) -> None:
+def _update_behind_since(state: State) -> None:
     freshness = state.freshness
     own_next = state.fold.position.next_offset
     peers = state.membership.peers.values()
     if all(peer.next_offset <= own_next for peer in peers):
         freshness.behind_since_s = NEVER_S
-        freshness.touched_s = max(freshness.touched_s, _in_touch_s(state))
+        freshness.all_zones_reached_s = max(
+            freshness.all_zones_reached_s, _all_zones_reached_s(state)
+        )
     elif freshness.behind_since_s == NEVER_S:
-        # What others have folded meanwhile may be as old as the last moment of touch.
-        freshness.behind_since_s = max(freshness.touched_s, 0.0)
+        # Records that peers have folded since may be as old as the last complete contact.
+        freshness.behind_since_s = max(freshness.all_zones_reached_s, 0.0)
 
 
-def _note_claim(state: State, at_s: float, next_offset: int) -> None:
+def _record_peer_proof(state: State, at_s: float, next_offset: int) -> None:
     freshness = state.freshness
     if state.fold.position.next_offset >= next_offset:
-        freshness.head_s = max(freshness.head_s, at_s)
-    elif at_s - freshness.claimed_s > CLAIM_KEPT_S:
-        freshness.claimed_s = at_s
-        freshness.claimed_offset = next_offset
+        freshness.log_proof_s = max(freshness.log_proof_s, at_s)
+    elif at_s - freshness.peer_proof_s > PEER_PROOF_KEPT_S:
+        freshness.peer_proof_s = at_s
+        freshness.peer_proof_offset = next_offset
 
 
-def _use_claim(state: State) -> None:
+def _apply_peer_proof(state: State) -> None:
     freshness = state.freshness
-    if freshness.claimed_s == NEVER_S:
+    if freshness.peer_proof_s == NEVER_S:
         return
-    if state.fold.position.next_offset >= freshness.claimed_offset:
-        freshness.head_s = max(freshness.head_s, freshness.claimed_s)
-        freshness.claimed_s = NEVER_S
+    if state.fold.position.next_offset >= freshness.peer_proof_offset:
+        freshness.log_proof_s = max(freshness.log_proof_s, freshness.peer_proof_s)
+        freshness.peer_proof_s = NEVER_S
 
 
 HANDLERS: HandlerTable = {
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_aggregates.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_membership_aggregates.py
@@ -1,9 +1,9 @@
 """
-Numbers that entry instances tell each other on their heartbeats, such as each team's demand.
+Aggregate values that entry instances exchange on heartbeats, such as each team's demand.
 
-A domain registers a provider of its own numbers. An instance tells its numbers to its zone, and
-relays tell the sums of their zone to other zones. Only changed numbers are sent, oldest change
-first, and at most so many a second: with more numbers their age grows, not the traffic.
+A domain registers a provider of its values. An instance sends its values to its zone, and relays
+send the sums of their zone to other zones. Only changed values are sent, the oldest change first,
+and at a limited rate: with more values their age grows, not the traffic.
 """
 
 from collections.abc import Callable, Mapping
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from ._membership_messages import OriginNumbers
+from ._membership_messages import OriginValues
 from ._membership_state import AggregateState, Feed, FeedEntry, FeedKey, Peer
 
 if TYPE_CHECKING:
@@ -20,15 +20,15 @@
 
 Provider = Callable[[Any], Mapping[str, int]]
 
-# Numbers that an instance sends to all instances of its zone together.
-ZONE_NUMBERS_PER_S = 300
-# Numbers that a relay sends to all other zones together.
-RELAY_NUMBERS_PER_S = 150
-# Numbers that have changed by less than this share are not sent again.
-CHANGE_SHARE = 0.1
-# A peer is sent everything again after this time, since messages can be lost.
-REFRESH_S = 30.0
-# Numbers of an origin that was not heard for this time no longer count.
+# Limit on the values that an instance sends to all instances of its zone together.
+ZONE_VALUES_PER_S = 300
+# Limit on the values that a relay sends to all other zones together.
+RELAY_VALUES_PER_S = 150
+# A value is not sent again when it has changed by no more than this ratio.
+MIN_CHANGE_RATIO = 0.1
+# All values are sent to a peer again after this time, because messages can be lost.
+FULL_RESEND_INTERVAL_S = 30.0
+# Values of an origin that was not seen for this time are ignored.
 VALID_S = 10.0
 
 PROVIDERS: dict[str, Provider] = {}
@@ -36,149 +36,153 @@
 
 def register_aggregate(name: str, provide: Provider) -> None:
     """
-    Let a domain's numbers ride on the heartbeats.
+    Register a provider of values that are exchanged on heartbeats.
 
-    :param name: name of the aggregate, the same in every version of the program.
-    :param provide: gives this instance's numbers, none negative, by their names.
+    :param name: name of the aggregate, which must not change between versions.
+    :param provide: returns this instance's non-negative values by name.
     """
     PROVIDERS[name] = provide
 
 
 def fleet_number(state: "State", aggregate: str, name: str) -> int:
     """
-    Give the sum of one number over all instances that are in touch.
+    Return the sum of a value over all reachable instances.
 
     :param state: the state.
     :param aggregate: name of the aggregate.
-    :param name: name of the number.
-    :returns: the sum, this instance's own number included.
+    :param name: name of the value.
+    :returns: the sum, including this instance's own value.
     """
     key = hash_name(aggregate, name)
     aggregates = state.membership.aggregates
     valid_since_s = state.now_s - VALID_S
     return sum(
-        numbers.get(key, 0)
-        for origin, numbers in aggregates.numbers.items()
-        if aggregates.heard_s[origin] >= valid_since_s
+        values.get(key, 0)
+        for origin, values in aggregates.values_by_origin.items()
+        if aggregates.last_seen_s[origin] >= valid_since_s
     )
 
 
 def zone_number(state: "State", aggregate: str, name: str) -> int:
     """
-    Give the sum of one number over the instances of the own zone.
+    Return the sum of a value over the instances of the local zone.
 
     :param state: the state.
     :param aggregate: name of the aggregate.
-    :param name: name of the number.
-    :returns: the sum, this instance's own number included.
+    :param name: name of the value.
+    :returns: the sum, including this instance's own value.
     """
     return _sum_zone(state, hash_name(aggregate, name))
 
 
-def zone_numbers(state: "State", aggregate: str, name: str) -> dict[str, int]:
+def zone_values(state: "State", aggregate: str, name: str) -> dict[str, int]:
     """
-    Give one number of each instance of the own zone, as last told.
+    Return a value of each instance of the local zone, as last reported.
 
     :param state: the state.
     :param aggregate: name of the aggregate.
-    :param name: name of the number.
-    :returns: numbers by instance, this instance's own included.
+    :param name: name of the value.
+    :returns: values by instance, including this instance's own.
     """
     key = hash_name(aggregate, name)
     aggregates = state.membership.aggregates
     valid_since_s = state.now_s - VALID_S
     return {
-        origin: numbers.get(key, 0)
-        for origin, numbers in aggregates.numbers.items()
-        if _is_own_zone(state, origin) and aggregates.heard_s[origin] >= valid_since_s
+        origin: values.get(key, 0)
+        for origin, values in aggregates.values_by_origin.items()
+        if _is_own_zone(state, origin) and aggregates.last_seen_s[origin] >= valid_since_s
     }
 
 
-def origin_number(state: "State", origin: str, aggregate: str, name: str) -> int:
+def origin_value(state: "State", origin: str, aggregate: str, name: str) -> int:
     """
-    Give one number of one instance of the own zone, or the sum of another zone, as last told.
+    Return a value of an instance of the local zone, or the sum of another zone, as last reported.
 
     :param state: the state.
     :param origin: the instance or the zone.
     :param aggregate: name of the aggregate.
-    :param name: name of the number.
-    :returns: the number, 0 when it is not known.
+    :param name: name of the value.
+    :returns: the value, 0 when it is unknown.
     """
     aggregates = state.membership.aggregates
-    if aggregates.heard_s.get(origin, 0.0) < state.now_s - VALID_S:
+    if aggregates.last_seen_s.get(origin, 0.0) < state.now_s - VALID_S:
         return 0
-    return aggregates.numbers.get(origin, {}).get(hash_name(aggregate, name), 0)
+    return aggregates.values_by_origin.get(origin, {}).get(hash_name(aggregate, name), 0)
 
 
 def hash_name(aggregate: str, name: str) -> int:
     """
-    Give the number under which a name is sent.
+    Return the hash that identifies a value in messages.
 
     :param aggregate: name of the aggregate.
-    :param name: name of the number.
-    :returns: 32 bits.
+    :param name: name of the value.
+    :returns: 32-bit hash.
     """
     return xxhash.xxh32_intdigest(f"{aggregate}/{name}".encode())
 
 
-def collect_own(state: "State") -> None:
+def refresh_local_values(state: "State") -> None:
     """
-    Ask the providers for this instance's numbers.
+    Update this instance's own values from the providers.
 
     :param state: the aggregates are changed in place.
     """
     origin = state.identity.sender.instance
-    numbers = {
+    values = {
         hash_name(aggregate, name): value
         for aggregate, provide in PROVIDERS.items()
         for name, value in provide(state).items()
     }
-    known = state.membership.aggregates.numbers.get(origin, {})
-    gone = {key: 0 for key in known if key not in numbers}
-    _take(state, origin, {**numbers, **gone})
-    for key in {**numbers, **gone}:
-        _put(state.membership.aggregates.zone_feed, FeedKey(origin, key), numbers.get(key, 0))
+    known = state.membership.aggregates.values_by_origin.get(origin, {})
+    gone = {key: 0 for key in known if key not in values}
+    _merge_values(state, origin, {**values, **gone})
+    for key in {**values, **gone}:
+        _update_feed(
+            state.membership.aggregates.zone_feed, FeedKey(origin, key), values.get(key, 0)
+        )
 
 
-def take_numbers(state: "State", from_zone: str, received: tuple[OriginNumbers, ...]) -> None:
+def merge_received(state: "State", from_zone: str, received: tuple[OriginValues, ...]) -> None:
     """
-    Take over what a peer has told.
+    Merge the values that a peer has reported.
 
     :param state: the aggregates are changed in place.
     :param from_zone: zone of the peer.
-    :param received: its changed numbers.
+    :param received: the values that have changed.
     """
     for item in received:
-        _take(state, item.origin, item.numbers)
+        _merge_values(state, item.origin, item.values)
         if from_zone == state.identity.sender.zone:
             continue
-        for key, value in item.numbers.items():
-            _put(state.membership.aggregates.zone_feed, FeedKey(item.origin, key), value)
+        for key, value in item.values.items():
+            _update_feed(state.membership.aggregates.zone_feed, FeedKey(item.origin, key), value)
 
 
-def mark_heard(aggregates: AggregateState, origin: str, now_s: float) -> None:
+def mark_origin_seen(aggregates: AggregateState, origin: str, now_s: float) -> None:
     """
-    Remember that an origin is in touch, though its numbers may not have changed.
+    Record that an origin is reachable, even if none of its values has changed.
 
     :param aggregates: changed in place.
-    :param origin: instance of the own zone, or zone.
-    :param now_s: time.
+    :param origin: instance of the local zone, or zone.
+    :param now_s: current time.
     """
-    if origin in aggregates.numbers:
-        aggregates.heard_s[origin] = now_s
+    if origin in aggregates.values_by_origin:
+        aggregates.last_seen_s[origin] = now_s
 
 
-def next_numbers(feed: Feed, peer: Peer, limit: int, now_s: float) -> tuple[OriginNumbers, ...]:
+def select_feed_values(
+    feed: Feed, peer: Peer, limit: int, now_s: float
+) -> tuple[OriginValues, ...]:
     """
-    Choose the numbers that a peer is sent next.
+    Select the values to send to a peer next.
 
     :param feed: the feed.
-    :param peer: its place in the feed is moved on.
-    :param limit: largest count of numbers.
-    :param now_s: time.
-    :returns: the numbers, by origin.
+    :param peer: its position in the feed is advanced.
+    :param limit: maximum number of values.
+    :param now_s: current time.
+    :returns: the values, by origin.
     """
-    if peer.feed_sent >= feed.sequence and now_s - peer.feed_reset_s >= REFRESH_S:
+    if peer.feed_sent >= feed.sequence and now_s - peer.feed_reset_s >= FULL_RESEND_INTERVAL_S:
         peer.feed_sent = 0
         peer.feed_reset_s = now_s
     unsent = []
@@ -190,31 +194,31 @@
     for key, entry in islice(reversed(unsent), limit):
         by_origin.setdefault(key.origin, {})[key.key] = entry.value
         peer.feed_sent = entry.sequence
-    return tuple(OriginNumbers(origin, numbers) for origin, numbers in by_origin.items())
+    return tuple(OriginValues(origin, values) for origin, values in by_origin.items())
 
 
-def _take(state: "State", origin: str, received: Mapping[int, int]) -> None:
+def _merge_values(state: "State", origin: str, received: Mapping[int, int]) -> None:
     aggregates = state.membership.aggregates
-    numbers = aggregates.numbers.setdefault(origin, {})
-    aggregates.heard_s[origin] = state.now_s
+    values = aggregates.values_by_origin.setdefault(origin, {})
+    aggregates.last_seen_s[origin] = state.now_s
     for key, value in received.items():
         if value:
-            numbers[key] = value
+            values[key] = value
         else:
-            numbers.pop(key, None)
+            values.pop(key, None)
     if _is_own_zone(state, origin):
         for key in received:
             total = _sum_zone(state, key)
-            _put(aggregates.relay_feed, FeedKey(state.identity.sender.zone, key), total)
+            _update_feed(aggregates.relay_feed, FeedKey(state.identity.sender.zone, key), total)
 
 
 def _sum_zone(state: "State", key: int) -> int:
     aggregates = state.membership.aggregates
     valid_since_s = state.now_s - VALID_S
     return sum(
-        numbers.get(key, 0)
-        for origin, numbers in aggregates.numbers.items()
-        if _is_own_zone(state, origin) and aggregates.heard_s[origin] >= valid_since_s
+        values.get(key, 0)
+        for origin, values in aggregates.values_by_origin.items()
+        if _is_own_zone(state, origin) and aggregates.last_seen_s[origin] >= valid_since_s
     )
 
 
@@ -224,9 +228,9 @@
     return origin == own.instance or (peer is not None and peer.sender.zone == own.zone)
 
 
-def _put(feed: Feed, key: FeedKey, value: int) -> None:
+def _update_feed(feed: Feed, key: FeedKey, value: int) -> None:
     current = feed.entries.get(key)
-    if current is not None and _is_near(current.value, value):
+    if current is not None and _is_insignificant_change(current.value, value):
         return
     if current is None and not value:
         return
@@ -235,7 +239,7 @@
     feed.entries[key] = FeedEntry(feed.sequence, value)
 
 
-def _is_near(sent: int, value: int) -> bool:
+def _is_insignificant_change(sent: int, value: int) -> bool:
     if not sent or not value:
         return sent == value
-    return abs(value - sent) <= CHANGE_SHARE * sent
+    return abs(value - sent) <= MIN_CHANGE_RATIO * sent
--- a/packages/eelgrassdrum-core/tests/test_fold.py
+++ b/packages/eelgrassdrum-core/tests/test_fold.py
@@ -1,5 +1,5 @@
 """
-The fold: what does not depend on the way records came, and what older and newer programs share.
+Tests of the fold: determinism, upgrades between versions, concurrent writers and snapshots.
 """
 
 from typing import Any
@@ -10,19 +10,19 @@
 
 from eelgrassdrum_core import Record, RecordId, Sender, StoredRecord, fold_record
 from eelgrassdrum_core import _fold as fold_module
-from eelgrassdrum_core._fold import LogPosition, apply_kept
+from eelgrassdrum_core._fold import LogPosition, apply_unknown_records
 from eelgrassdrum_core._log_follower import APPLIERS
-from eelgrassdrum_core._snapshots_chunks import ChunkError, cut_chunk, join_chunks
+from eelgrassdrum_core._snapshots_chunks import ChunkError, build_chunk, join_chunks
 from eelgrassdrum_core._snapshots_codec import SnapshotError, decode_snapshot, encode_snapshot
 from eelgrassdrum_core._state import Fold
 
 MAKER = Sender("a1", 1, "a")
-RACERS = ("op-1", "op-2", "op-3")
+WRITERS = ("op-1", "op-2", "op-3")
 
 
-def put(values: dict[str, int], offset: int, record: Record) -> str:
+def apply_value(values: dict[str, int], offset: int, record: Record) -> str:
     """
-    Apply a record of a kind made up for these tests.
+    Apply a record of the kinds that exist only in these tests.
     """
     if record.body["value"] < 0:
         return "negative"
@@ -30,8 +30,8 @@
     return ""
 
 
-NEWER = {"old": put, "new": put}
-OLDER = {"old": put}
+NEWER = {"old": apply_value, "new": apply_value}
+OLDER = {"old": apply_value}
 
 record_lists = st.lists(
     st.builds(
@@ -42,7 +42,7 @@
             base,
             {"value": value},
         ),
-        st.sampled_from(RACERS),
+        st.sampled_from(WRITERS),
         st.integers(1, 2),
         st.integers(1, 6),
         st.sampled_from(("old", "new")),
@@ -58,15 +58,15 @@
     position: LogPosition, appliers: dict[str, Any], values: dict[str, int], records: list[Record]
 ) -> None:
     """
-    Fold records from the position's offset on.
+    Fold records from the next offset of the position.
     """
     for record in records:
         fold_record(position, appliers, values, StoredRecord(position.next_offset, record))
 
 
-def copied(value: Any) -> Any:
+def round_trip(value: Any) -> Any:
     """
-    Send a value through the snapshot's encoding.
+    Return a copy of a value, made by encoding and decoding it as in a snapshot.
     """
     return msgspec.msgpack.decode(msgspec.msgpack.encode(value), type=type(value))
 
@@ -75,14 +75,14 @@
 @given(record_lists, st.integers(0, 25))
 def check_upgrade(records: list[Record], split: int) -> None:
     """
-    Fold with an older program up to a place, go on with a newer one, and compare.
+    Fold with an older version up to the split, continue with a newer one, and compare.
     """
     direct, direct_values = LogPosition(), {}
     fold_all(direct, NEWER, direct_values, records)
     upgraded, values = LogPosition(), {}
     fold_all(upgraded, OLDER, values, records[:split])
-    upgraded = copied(upgraded)
-    apply_kept(upgraded, NEWER, values)
+    upgraded = round_trip(upgraded)
+    apply_unknown_records(upgraded, NEWER, values)
     fold_all(upgraded, NEWER, values, records[split:])
     assert values == direct_values
     assert upgraded.revisions == direct.revisions
@@ -91,31 +91,31 @@
 
 def test_upgrade_gives_the_same_fold() -> None:
     """
-    A newer program that starts from an older one's fold comes to what it would have folded itself.
+    A newer version that starts from an older version's fold gets the same fold as from the log.
     """
     check_upgrade()
 
 
 def test_upgrade_check_can_fail() -> None:
     """
-    Without the records of unknown kinds the upgraded fold differs, and the comparison shows it.
+    The upgrade check fails when records of unknown kinds are not retained.
     """
-    kept = fold_module._keep_unknown
-    fold_module._keep_unknown = lambda unknown, stored: None
+    original = fold_module._retain_unknown
+    fold_module._retain_unknown = lambda unknown, stored: None
     try:
         check_upgrade()
     except AssertionError:
         return
     finally:
-        fold_module._keep_unknown = kept
-    raise AssertionError("the check did not notice")
+        fold_module._retain_unknown = original
+    raise AssertionError("the check did not fail")
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(record_lists)
-def check_one_winner(records: list[Record]) -> None:
+def check_no_lost_update(records: list[Record]) -> None:
     """
-    Compare the accepted records with the rule: each builds on the one before of its subject.
+    Check that each accepted record builds on the previously accepted one of its subject.
     """
     position, values = LogPosition(), {}
     last: dict[str, int] = {}
@@ -127,16 +127,16 @@
             last[record.subject] = decision.offset
 
 
-def test_of_racing_writers_one_wins() -> None:
+def test_concurrent_writers_lose_no_update() -> None:
     """
-    An accepted record builds on the last accepted one of its subject, so none is overwritten blind.
+    Of concurrent updates of a subject only one is accepted, so no update is lost.
     """
-    check_one_winner()
+    check_no_lost_update()
 
 
 def test_unknown_records_are_bounded() -> None:
     """
-    Past the bound the oldest unknown records go, counted by kind, and newer programs are told.
+    Beyond the limit the oldest unknown records are dropped and counted by kind in ``lost``.
     """
     position, values = LogPosition(), {}
     count = fold_module.UNKNOWN_RECORDS_KEPT + 10
@@ -150,36 +150,38 @@
 
 def test_snapshot_gives_the_fold_back() -> None:
     """
-    The fold of every domain survives its encoding, cutting and joining.
+    The fold of all domains survives encoding, splitting into chunks and reassembly.
     """
     folded = make_fold()
     raw = encode_snapshot(folded, APPLIERS, MAKER)
-    chunks = {0: cut_chunk(raw, 0)}
+    chunks = {0: build_chunk(raw, 0)}
     assert decode_snapshot(join_chunks(chunks), APPLIERS) == folded
 
 
 def test_damaged_snapshots_are_refused() -> None:
     """
-    A flipped bit, a missing chunk, a foreign offset and a newer layout are each refused by name.
+    Corrupt or missing chunks raise `ChunkError`; a wrong offset or layout raises `SnapshotError`.
     """
     raw = encode_snapshot(make_fold(), APPLIERS, MAKER)
-    chunk = cut_chunk(raw, 0)
+    chunk = build_chunk(raw, 0)
     damaged = (
         {0: chunk._replace(data=chunk.data[:-1] + bytes([chunk.data[-1] ^ 1]))},
         {0: chunk._replace(total_checksum=chunk.total_checksum + 1)},
         {1: chunk._replace(number=1)},
         {0: chunk._replace(chunks=2)},
     )
-    assert [raised(ChunkError, lambda c=c: join_chunks(c)) for c in damaged] == [True] * 4
+    assert [does_raise(ChunkError, lambda c=c: join_chunks(c)) for c in damaged] == [True] * 4
     newer = raw._replace(data=raw.data.replace(b"format\x01", b"format\x02"))
     unreadable = (raw._replace(offset=raw.offset + 1), newer, raw._replace(data=b"\xc1"))
-    refused = [raised(SnapshotError, lambda r=r: decode_snapshot(r, APPLIERS)) for r in unreadable]
+    refused = [
+        does_raise(SnapshotError, lambda r=r: decode_snapshot(r, APPLIERS)) for r in unreadable
+    ]
     assert refused == [True] * 3
 
 
-def raised(error: type[Exception], action: Any) -> bool:
+def does_raise(error: type[Exception], action: Any) -> bool:
     """
-    Tell whether an action raises an error.
+    Return whether an action raises the given error.
     """
     try:
         action()
@@ -190,7 +192,7 @@
 
 def make_fold() -> Fold:
     """
-    Give a fold with a key, a withdrawn key, a rejected record and an unknown one.
+    Build a fold with a key, a withdrawn key, a rejected record and a record of an unknown kind.
     """
     folded = Fold()
     grant = {"workspace": "show", "team": "t", "digest": "0" * 64, "queues": []}
