--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/__init__.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/__init__.py
@@ -6,17 +6,17 @@
 
 from . import _records as records
 from . import effects, events, model
-from ._book import Book
 from ._intake import CHANNEL as INTAKE_CHANNEL
 from ._node import Identity, Moment, Node
 from ._reduce import reduce
+from ._replicated_state import ReplicatedState
 
 __all__ = [
     "INTAKE_CHANNEL",
-    "Book",
     "Identity",
     "Moment",
     "Node",
+    "ReplicatedState",
     "effects",
     "events",
     "model",
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_advice.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_advice.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from . import effects, events
-from ._book import Job
 from ._node import Moment, Node, StepAdvice, emit, log_line
+from ._replicated_state import Job
 
 # Workers that one call names: enough to find a few that may run the step.
 WORKERS_PER_CALL = 6
@@ -111,5 +111,5 @@
 
     :param node: the instance.
     """
-    for key in [key for key in node.advice if key[0] not in node.book.open_jobs]:
+    for key in [key for key in node.advice if key[0] not in node.replicated.open_jobs]:
         del node.advice[key]
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_emptying.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_emptying.py
@@ -2,9 +2,9 @@
 Takes tasks that last away from a worker that is to be emptied, within the budgets of their steps.
 """
 
-from . import _book, _runs, _sites
-from ._book import StepState, Task, occurrence_of
+from . import _replicated_state, _runs, _sites
 from ._node import Moment, Node, Worker, log_line
+from ._replicated_state import StepState, Task, occurrence_of
 
 # Added to the longest stop, for its order and the list that shows its end.
 STOP_MARGIN_S = 2.0
@@ -20,9 +20,13 @@
     :param worker: the worker.
     """
     for task in list(_runs.runs_on(node, worker.id).values()):
-        job = node.book.jobs[task.key.job]
+        job = node.replicated.jobs[task.key.job]
         step = job.spec.steps[task.key.step]
-        if not step.lasts or task.key in worker.stops or job.state in _book.FINAL_STATES:
+        if (
+            not step.is_long_running
+            or task.key in worker.stops
+            or job.state in _replicated_state.FINAL_STATES
+        ):
             continue
         state = occurrence_of(job, task.key.occurrence)[task.key.step]
         if not may_take_away(node, at, state):
@@ -67,7 +71,7 @@
     :returns: whether it works.
     """
     worker = node.workers.get(task.worker)
-    if task.status != _book.RUNNING or worker is None or worker.is_failing:
+    if task.status != _replicated_state.RUNNING or worker is None or worker.is_failing:
         return False
     row = worker.rows.get(task.key)
     is_up = row is not None and row.run == task.run and row.percent >= 100
@@ -100,6 +104,6 @@
     for site in sites:
         is_labelled = _sites.has_label(step, site.worker)
         is_seated = not step.max_per_worker or seats[site.worker.id] < step.max_per_worker
-        if is_labelled and is_seated and state.room.fits(site.free[0]):
+        if is_labelled and is_seated and state.resources.fits(site.free[0]):
             return site
     return None
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_forwarding.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_forwarding.py
@@ -17,7 +17,7 @@
 TIMEOUT_S = 1.6
 # An instance whose owner did not take records appends by itself for this long, as long as a new
 # owner takes to be found.
-DIRECT_S = 1.0
+DIRECT_APPEND_S = 1.0
 
 
 class Route(NamedTuple):
@@ -43,11 +43,11 @@
     :param at: the time.
     :returns: the owner, or the store while no owner takes them.
     """
-    book = node.book
-    is_known = book.owner is not None and book.owner_address and node.identity.address
+    replicated = node.replicated
+    is_known = replicated.owner is not None and replicated.owner_address and node.identity.address
     if not is_known or at.now_s < node.intake.direct_until_s:
         return TO_STORE
-    return Route(book.owner_address, book.epoch)
+    return Route(replicated.owner_address, replicated.epoch)
 
 
 def send(node: Node, at: Moment, route: Route, seq: int, records: tuple[bytes, ...]) -> None:
@@ -61,7 +61,7 @@
     :param records: the records.
     """
     if node.ownership.is_owner:
-        _journal.add_callers(node, CallerRecords(None, seq, records, at.now_s))
+        _journal.add_callers_records(node, CallerRecords(None, seq, records, at.now_s))
     else:
         emit(node, effects.Forward(route.address, route.epoch, seq, records, TIMEOUT_S))
 
@@ -75,8 +75,10 @@
     :param event: the records.
     """
     ownership = node.ownership
-    is_mine = ownership.is_owner and event.epoch == ownership.epoch and not node.is_stopping
-    if not is_mine or not all(_is_of_callers(data) for data in event.records):
+    is_addressed_owner = (
+        ownership.is_owner and event.epoch == ownership.epoch and not node.is_stopping
+    )
+    if not is_addressed_owner or not all(_is_callers_record(data) for data in event.records):
         emit(node, effects.AnswerPeer(event.token, events.REFUSED))
         log_line(
             node,
@@ -87,8 +89,8 @@
             records=len(event.records),
         )
         return
-    _journal.add_callers(node, CallerRecords(event.token, 0, event.records, at.now_s))
+    _journal.add_callers_records(node, CallerRecords(event.token, 0, event.records, at.now_s))
 
 
-def _is_of_callers(data: bytes) -> bool:
+def _is_callers_record(data: bytes) -> bool:
     return isinstance(decode_record(data), Submitted | Cancelled)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_instances.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_instances.py
@@ -7,10 +7,10 @@
 """
 
 from . import _emptying, _registry, _runs, _sites, effects, events
-from ._book import InstanceOrder
-from ._journal import follow_with, write
+from ._journal import emit_after_commit, write
 from ._node import Moment, Node, Worker, emit, log_line
 from ._records import InstanceDone, InstanceOrdered
+from ._replicated_state import InstanceOrder
 
 MAINTENANCE = "maintenance"
 MOVE = "move"
@@ -44,7 +44,7 @@
     :param at: the time.
     """
     fleet = node.fleet
-    is_busy = bool(fleet.emptying or fleet.down or _has_doubts(node))
+    is_busy = bool(fleet.draining or fleet.down or _has_doubts(node))
     interval_s = BUSY_LIST_S if is_busy else IDLE_LIST_S
     if not fleet.is_listing and at.now_s - fleet.listed_s >= interval_s:
         fleet.is_listing = True
@@ -74,7 +74,7 @@
         row = fleet.rows.get(instance)
         if row is None or (row.state == UP and event.sent_s > since_s):
             del fleet.down[instance]
-            fleet.emptying.pop(instance, None)
+            fleet.draining.pop(instance, None)
             fleet.pool_of.pop(instance, None)
             log_line(node, "instance.back", instance=instance, is_listed=row is not None)
     _forget_unlisted(node)
@@ -87,15 +87,15 @@
     Drop the plans for instances that are gone, which would hold up the rest of their wave.
     """
     fleet = node.fleet
-    for instance in fleet.emptying.keys() - fleet.rows.keys():
-        reason = fleet.emptying.pop(instance)
+    for instance in fleet.draining.keys() - fleet.rows.keys():
+        reason = fleet.draining.pop(instance)
         fleet.pool_of.pop(instance, None)
         log_line(node, "instance.gone", instance=instance, emptied_for=reason)
 
 
 def _end_stopped(node: Node, at: Moment) -> None:
     for worker in node.workers.values():
-        if not worker.is_failing or worker.is_over:
+        if not worker.is_failing or worker.has_ended:
             continue
         row = node.fleet.rows.get(worker.entry.instance)
         # Only what a list says that was asked for after the worker fell silent counts.
@@ -103,9 +103,9 @@
             continue
         if row is None:
             if not worker.is_listed:
-                _registry.end_life(node, at, worker, "instance_gone")
+                _registry.end_incarnation(node, at, worker, "instance_gone")
         elif row.worker and row.worker != worker.id:
-            _registry.end_life(node, at, worker, "instance_has_another_worker")
+            _registry.end_incarnation(node, at, worker, "instance_has_another_worker")
         elif row.state != UP:
             _runs.lose_all(node, at, worker, f"instance_{row.state}")
 
@@ -120,10 +120,10 @@
     for worker in node.workers.values():
         if worker.entry.is_draining and worker.is_listed and not worker.is_failing:
             _emptying.move_lasting(node, at, worker)
-    if node.registry.ok_s <= node.ownership.claimed_s:
+    if node.registry.last_success_s <= node.ownership.claimed_s:
         # Which workers the instances hold is not known yet.
         return
-    for instance, reason in list(node.fleet.emptying.items()):
+    for instance, reason in list(node.fleet.draining.items()):
         if instance in node.fleet.down or instance in node.fleet.in_flight:
             continue
         for worker in _workers_on(node, instance):
@@ -148,7 +148,7 @@
     return [
         worker
         for worker in node.workers.values()
-        if worker.entry.instance == instance and not worker.is_over
+        if worker.entry.instance == instance and not worker.has_ended
     ]
 
 
@@ -158,7 +158,7 @@
     lapse while the store is away.
     """
     row = node.fleet.rows.get(instance)
-    if row is not None and row.worker and row.worker in node.book.running:
+    if row is not None and row.worker and row.worker in node.replicated.running:
         return True
     return any(
         _sites.is_busy(node, worker) or not (worker.is_held or worker.is_failing)
@@ -170,7 +170,7 @@
     """
     Tell whether no former owner has given the instance an order lately, or still may.
     """
-    order = node.book.orders.get(instance)
+    order = node.replicated.orders.get(instance)
     if order is None or order.epoch == node.ownership.epoch:
         return True
     age_s = least_age_s(node, at, order)
@@ -192,7 +192,7 @@
     :param order: the order.
     :returns: seconds.
     """
-    by_log_s = node.book.log_s - order.log_s + at.now_s - node.book.log_read_s
+    by_log_s = node.replicated.log_s - order.log_s + at.now_s - node.replicated.log_read_s
     return max(at.now_s - order.seen_s, by_log_s)
 
 
@@ -207,7 +207,7 @@
     node.fleet.next_order_s = earliest_s + 1 / (ORDER_RATE_PART * node.bounds.orders_per_s)
     epoch = node.ownership.epoch
     write(node, at, InstanceOrdered(epoch, instance, wave, pool, at.wall_ms))
-    follow_with(node, effects.OrderInstance(instance, wave, pool, epoch))
+    emit_after_commit(node, effects.OrderInstance(instance, wave, pool, epoch))
     log_line(node, "instance.order", instance=instance, wave=wave, pool=pool, epoch=epoch)
 
 
@@ -262,7 +262,7 @@
         fleet.down[event.instance] = at.now_s
         for worker in node.workers.values():
             if worker.entry.instance == event.instance:
-                _registry.end_life(node, at, worker, "instance_ordered_down")
+                _registry.end_incarnation(node, at, worker, "instance_ordered_down")
         write(node, at, InstanceDone(node.ownership.epoch, event.instance, event.wave))
         return
     if event.outcome == events.UNKNOWN:
@@ -272,7 +272,7 @@
     is_unsent = event.outcome == events.UNSENT
     fleet.retry_s[event.instance] = at.now_s + (UNSENT_RETRY_S if is_unsent else ORDER_RETRY_S)
     if event.reason == "wave" or event.wave < 0:
-        fleet.emptying.pop(event.instance, None)
+        fleet.draining.pop(event.instance, None)
         fleet.pool_of.pop(event.instance, None)
 
 
@@ -284,17 +284,17 @@
     :param node: the instance, which has just come to own the log.
     :param at: the time.
     """
-    for instance, order in node.book.orders.items():
+    for instance, order in node.replicated.orders.items():
         if order.is_done:
             continue
         if order.wave >= 0:
-            node.fleet.emptying[instance] = MAINTENANCE
+            node.fleet.draining[instance] = MAINTENANCE
             node.fleet.wave_of[instance] = order.wave
         else:
-            node.fleet.emptying[instance] = MOVE
+            node.fleet.draining[instance] = MOVE
             node.fleet.pool_of[instance] = order.pool
     # Any instance that was ordered a moment ago may be down still.
-    for instance, order in node.book.orders.items():
+    for instance, order in node.replicated.orders.items():
         if order.is_done and least_age_s(node, at, order) < RECENT_ORDER_S:
             node.fleet.down[instance] = at.now_s
-            node.fleet.emptying[instance] = MAINTENANCE
+            node.fleet.draining[instance] = MAINTENANCE
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_intake.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_intake.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from . import _book, _forwarding, effects, events
+from . import _forwarding, _replicated_state, effects, events
 from ._node import IntakeCall, Moment, Node, emit, log_line
 from ._records import Cancelled, Record, Submitted, encode_records
 from .events import CallReceived
@@ -17,10 +17,10 @@
 # An append without an answer is sent again after this.
 RETRY_S = 0.1
 # A call whose append the store refuses is refused itself after this: two tries.
-GIVE_UP_S = 0.25
+REFUSE_AFTER_S = 0.25
 # A call that waits behind a batch whose outcome is not known yet is refused after this: twice the
 # time of an append of the slowest store seen.
-BEHIND_S = 0.8
+MAX_QUEUED_S = 0.8
 # Left of a caller's deadline for its answer to travel back.
 ANSWER_MARGIN_S = 0.1
 # A caller that gives no deadline is taken to wait this long.
@@ -32,9 +32,9 @@
 # No configuration yet: an instance that starts has one within this.
 START_RETRY_S = 0.5
 # An answer that a job does not exist rests on a read of the log no older than this.
-FRESH_LOG_S = 1.5
+MAX_LOG_AGE_S = 1.5
 # An accepted job that the log has not shown after this was never read back; it is forgotten here.
-ACCEPTED_KEEP_S = 30.0
+ACCEPTED_RETENTION_S = 30.0
 
 
 def on_call(node: Node, at: Moment, call: CallReceived) -> None:
@@ -52,7 +52,7 @@
     if queue is None:
         _refuse(node, call, effects.NO_SUCH_QUEUE, "no_queue_matches")
         return
-    if at.now_s - node.operator.ok_s > node.bounds.config_stale_s:
+    if at.now_s - node.operator.last_success_s > node.bounds.config_stale_s:
         retry_s = store_retry_s(node, at)
         _refuse(node, call, effects.UNAVAILABLE, "configuration_too_old", retry_s)
         return
@@ -105,7 +105,7 @@
     if call.spec is None or not job_id:
         _refuse(node, call, effects.MALFORMED, "malformed_job")
         return
-    if job_id in node.book.jobs or job_id in node.intake.accepted:
+    if job_id in node.replicated.jobs or job_id in node.intake.accepted:
         emit(node, effects.Reply(call.token, effects.ACCEPTED))
         return
     record = Submitted(job_id, queue.name, queue.service, workspace, call.spec, at.wall_ms)
@@ -115,9 +115,9 @@
 def _cancel(
     node: Node, at: Moment, call: CallReceived, queue: Queue, workspace: str, job_id: str
 ) -> None:
-    job = node.book.jobs.get(job_id)
-    if job is not None and (job.cancelled or job.shown in _book.FINAL_STATES):
-        emit(node, effects.Reply(call.token, effects.STATE, job.shown))
+    job = node.replicated.jobs.get(job_id)
+    if job is not None and (job.cancelled or job.committed_state in _replicated_state.FINAL_STATES):
+        emit(node, effects.Reply(call.token, effects.STATE, job.committed_state))
         return
     _enqueue(node, at, call, Cancelled(job_id, at.wall_ms))
 
@@ -125,27 +125,27 @@
 def _look_up(
     node: Node, at: Moment, call: CallReceived, queue: Queue, workspace: str, job_id: str
 ) -> None:
-    job = node.book.jobs.get(job_id)
-    if not node.tail.is_read:
+    job = node.replicated.jobs.get(job_id)
+    if not node.tail.has_caught_up:
         # The book is still that of an earlier time.
         _refuse(node, call, effects.UNAVAILABLE, "log_not_read", START_RETRY_S)
     elif job is not None:
-        emit(node, effects.Reply(call.token, effects.STATE, shown_state(job)))
+        emit(node, effects.Reply(call.token, effects.STATE, visible_state(job)))
     elif job_id in node.intake.accepted:
-        emit(node, effects.Reply(call.token, effects.STATE, _book.QUEUED))
+        emit(node, effects.Reply(call.token, effects.STATE, _replicated_state.QUEUED))
     elif is_log_fresh(node, at.now_s):
         _refuse(node, call, effects.NO_SUCH_JOB, "no_such_job")
     else:
         _refuse(node, call, effects.UNAVAILABLE, "log_not_read", store_retry_s(node, at))
 
 
-def _count(
+def _count_pending(
     node: Node, at: Moment, call: CallReceived, queue: Queue, workspace: str, job_id: str
 ) -> None:
     if not is_log_fresh(node, at.now_s):
         _refuse(node, call, effects.UNAVAILABLE, "log_not_read", store_retry_s(node, at))
         return
-    number = node.book.pending.get(queue.name, 0)
+    number = node.replicated.pending.get(queue.name, 0)
     emit(node, effects.Reply(call.token, effects.PENDING, number=number))
 
 
@@ -153,20 +153,20 @@
     events.SUBMIT: _submit,
     events.CANCEL: _cancel,
     events.LOOK_UP: _look_up,
-    events.COUNT: _count,
+    events.COUNT: _count_pending,
 }
 
 
-def shown_state(job: _book.Job) -> str:
+def visible_state(job: _replicated_state.Job) -> str:
     """
     Give the state of a job as its caller is told.
 
     :param job: the job.
     :returns: its state; a cancelled job is shown as such at once.
     """
-    if job.cancelled and job.shown not in _book.FINAL_STATES:
-        return _book.CANCELLED
-    return job.shown
+    if job.cancelled and job.committed_state not in _replicated_state.FINAL_STATES:
+        return _replicated_state.CANCELLED
+    return job.committed_state
 
 
 def is_log_fresh(node: Node, now_s: float) -> bool:
@@ -177,7 +177,7 @@
     :param now_s: the clock.
     :returns: whether what is not in the book does not exist.
     """
-    return node.tail.is_caught_up and now_s - node.tail.ok_s <= FRESH_LOG_S
+    return node.tail.is_caught_up and now_s - node.tail.last_success_s <= MAX_LOG_AGE_S
 
 
 def on_abandoned(node: Node, token: int) -> None:
@@ -187,7 +187,7 @@
     :param node: the instance.
     :param token: the call.
     """
-    node.intake.gone.add(token)
+    node.intake.abandoned.add(token)
 
 
 def _enqueue(node: Node, at: Moment, call: CallReceived, record: Record) -> None:
@@ -214,9 +214,9 @@
         intake.data = tuple(encode_records(call.record for call in intake.batch))
         intake.seq += 1
         intake.is_uncertain = False
-    elif at.now_s - intake.tried_s < RETRY_S:
+    elif at.now_s - intake.last_sent_s < RETRY_S:
         return
-    intake.tried_s = at.now_s
+    intake.last_sent_s = at.now_s
     intake.is_waiting = True
     intake.route = _forwarding.choose_route(node, at)
     if intake.route == _forwarding.TO_STORE:
@@ -246,7 +246,7 @@
     """
     intake = node.intake
     intake.direct_until_s = 0.0
-    is_elsewhere = intake.route is not None and intake.route.epoch not in (0, node.book.epoch)
+    is_elsewhere = intake.route is not None and intake.route.epoch not in (0, node.replicated.epoch)
     if intake.is_waiting and is_elsewhere:
         intake.seq += 1
         intake.is_waiting = False
@@ -275,7 +275,7 @@
         intake.is_uncertain = True
     is_forwarded = intake.route != _forwarding.TO_STORE
     if is_forwarded:
-        intake.direct_until_s = at.now_s + _forwarding.DIRECT_S
+        intake.direct_until_s = at.now_s + _forwarding.DIRECT_APPEND_S
     log_line(
         node,
         "intake.append_failed",
@@ -302,8 +302,8 @@
             wait_s=round(at.now_s - call.since_s, 4),
         )
     elif isinstance(call.record, Cancelled):
-        waits = node.intake.cancels.setdefault(call.record.job, [])
-        waits.append((call.token, call.due_s))
+        waiters = node.intake.pending_cancels.setdefault(call.record.job, [])
+        waiters.append((call.token, call.due_s))
         answer_cancels(node, call.record.job, only_known=True)
 
 
@@ -315,23 +315,23 @@
     :param job_id: the job.
     :param only_known: leave those waiting whose job is not known yet.
     """
-    is_known = job_id in node.book.jobs or job_id in node.intake.accepted
+    is_known = job_id in node.replicated.jobs or job_id in node.intake.accepted
     if only_known and not is_known:
         return
-    for token, _due_s in node.intake.cancels.pop(job_id, ()):
-        if token in node.intake.gone:
-            node.intake.gone.discard(token)
+    for token, _due_s in node.intake.pending_cancels.pop(job_id, ()):
+        if token in node.intake.abandoned:
+            node.intake.abandoned.discard(token)
             continue
         outcome = effects.STATE if is_known else effects.NO_SUCH_JOB
-        emit(node, effects.Reply(token, outcome, _book.CANCELLED))
+        emit(node, effects.Reply(token, outcome, _replicated_state.CANCELLED))
         log_line(node, "job.cancel_accepted", job=job_id, is_known=is_known)
 
 
 def _reply(
     node: Node, call: IntakeCall, outcome: str, detail: str, retry_after_s: float | None = None
 ) -> None:
-    if call.token in node.intake.gone:
-        node.intake.gone.discard(call.token)
+    if call.token in node.intake.abandoned:
+        node.intake.abandoned.discard(call.token)
         return
     reply = effects.Reply(call.token, outcome, detail, retry_after_s=retry_after_s)
     emit(node, reply)
@@ -348,16 +348,16 @@
     """
     intake = node.intake
     for call in intake.batch:
-        if at.now_s >= call.due_s and call.token not in intake.gone:
+        if at.now_s >= call.due_s and call.token not in intake.abandoned:
             _reply(node, call, effects.UNCERTAIN, "store_does_not_answer")
-            intake.gone.add(call.token)
-            log_line(node, "call.uncertain", **_named(call), waited_s=_waited_s(call, at))
-    behind_s = GIVE_UP_S if intake.is_failing else BEHIND_S
-    while intake.waiting and at.now_s - intake.waiting[0].since_s >= behind_s:
-        _refuse_waiting(node, at, intake.waiting.popleft())
+            intake.abandoned.add(call.token)
+            log_line(node, "call.uncertain", **_call_fields(call), waited_s=_waited_s(call, at))
+    max_queued_s = REFUSE_AFTER_S if intake.is_failing else MAX_QUEUED_S
+    while intake.waiting and at.now_s - intake.waiting[0].since_s >= max_queued_s:
+        _refuse_unavailable(node, at, intake.waiting.popleft())
     _expire_cancels(node, at)
     if intake.accepted:
-        old = [job for job, s in intake.accepted.items() if at.now_s - s > ACCEPTED_KEEP_S]
+        old = [job for job, s in intake.accepted.items() if at.now_s - s > ACCEPTED_RETENTION_S]
         for job in old:
             del intake.accepted[job]
 
@@ -367,27 +367,27 @@
     Refuse the calls of a batch that the store has certainly not taken, once two tries are over.
     """
     intake = node.intake
-    if at.now_s - intake.batch[0].since_s < GIVE_UP_S:
+    if at.now_s - intake.batch[0].since_s < REFUSE_AFTER_S:
         return
     batch, intake.batch = intake.batch, ()
     for call in batch:
-        _refuse_waiting(node, at, call)
+        _refuse_unavailable(node, at, call)
 
 
-def _refuse_waiting(node: Node, at: Moment, call: IntakeCall) -> None:
+def _refuse_unavailable(node: Node, at: Moment, call: IntakeCall) -> None:
     retry_s = store_retry_s(node, at)
     _reply(node, call, effects.UNAVAILABLE, "store_unavailable", retry_s)
     log_line(
         node,
         "call.refused",
         reason="store_unavailable",
-        **_named(call),
+        **_call_fields(call),
         waited_s=_waited_s(call, at),
         retry_after_s=retry_s,
     )
 
 
-def _named(call: IntakeCall) -> dict[str, str]:
+def _call_fields(call: IntakeCall) -> dict[str, str]:
     record = call.record
     kind = events.SUBMIT if isinstance(record, Submitted) else events.CANCEL
     job = record.job if isinstance(record, Submitted | Cancelled) else ""
@@ -406,19 +406,19 @@
     :param at: the time.
     :returns: seconds.
     """
-    away_s = at.now_s - node.tail.ok_s
-    return max(MIN_STORE_RETRY_S, min(MAX_STORE_RETRY_S, away_s))
+    outage_s = at.now_s - node.tail.last_success_s
+    return max(MIN_STORE_RETRY_S, min(MAX_STORE_RETRY_S, outage_s))
 
 
 def _expire_cancels(node: Node, at: Moment) -> None:
-    for job_id, waits in list(node.intake.cancels.items()):
-        if all(at.now_s < due_s for _token, due_s in waits):
+    for job_id, waiters in list(node.intake.pending_cancels.items()):
+        if all(at.now_s < due_s for _token, due_s in waiters):
             continue
-        del node.intake.cancels[job_id]
-        for token, _due_s in waits:
-            if token not in node.intake.gone:
+        del node.intake.pending_cancels[job_id]
+        for token, _due_s in waiters:
+            if token not in node.intake.abandoned:
                 emit(node, effects.Reply(token, effects.UNCERTAIN, "log_not_read"))
-            node.intake.gone.discard(token)
+            node.intake.abandoned.discard(token)
 
 
 def is_idle(node: Node) -> bool:
@@ -429,4 +429,4 @@
     :returns: whether nothing is left to answer.
     """
     intake = node.intake
-    return not intake.batch and not intake.waiting and not intake.cancels
+    return not intake.batch and not intake.waiting and not intake.pending_cancels
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_journal.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_journal.py
@@ -7,24 +7,24 @@
 
 from . import _fold, effects, events
 from ._node import Batch, CallerRecords, Journal, Moment, Node, Worker, emit, log_line
-from ._records import Beat, Record, encode_records
+from ._records import OwnerHeartbeat, Record, encode_records
 
 CHANNEL = "owner"
 PRODUCER = "owner"
 # The owner shows that it is alive, and how time passes, this often; a third of the silence that
 # ends its ownership.
-BEAT_INTERVAL_S = 0.2
+HEARTBEAT_INTERVAL_S = 0.2
 # An append without an answer is sent again after this; a refused one as well.
 RETRY_S = 0.15
 # While the store is away, a line says so this often.
-LOG_INTERVAL_S = 1.0
+RETRY_LOG_INTERVAL_S = 1.0
 # Records of callers that the store certainly has not taken are given back after this: two tries.
-GIVE_BACK_S = 0.25
+REFUSE_AFTER_S = 0.25
 # Records of callers that wait behind a batch in flight are given back after this; twice the time of
 # an append of the slowest store seen.
-BEHIND_S = 0.8
+MAX_QUEUED_S = 0.8
 # The batch in flight is this old before decisions wait for it; several calm round trips.
-STALLED_S = 0.4
+STALL_TIMEOUT_S = 0.4
 
 
 def write(node: Node, at: Moment, record: Record) -> None:
@@ -35,11 +35,11 @@
     :param at: the time.
     :param record: the record.
     """
-    _fold.apply(node.book, record, at.now_s, at.wall_ms)
+    _fold.apply(node.replicated, record, at.now_s, at.wall_ms)
     node.journal.next.records.append(record)
 
 
-def follow_with(node: Node, effect: object) -> None:
+def emit_after_commit(node: Node, effect: object) -> None:
     """
     Carry out an effect once everything written so far stands in the log.
 
@@ -60,7 +60,7 @@
     node.journal.next.acks[worker.id] = (worker.entry.incarnation, number)
 
 
-def add_callers(node: Node, records: CallerRecords) -> None:
+def add_callers_records(node: Node, records: CallerRecords) -> None:
     """
     Append records of callers with the next batch.
 
@@ -79,7 +79,7 @@
     :returns: whether the append in flight is late.
     """
     journal = node.journal
-    return journal.in_flight is not None and now_s - journal.sent_s > STALLED_S
+    return journal.in_flight is not None and now_s - journal.sent_s > STALL_TIMEOUT_S
 
 
 def reset(node: Node, seq: int) -> None:
@@ -121,16 +121,16 @@
     journal = node.journal
     if not node.ownership.is_owner:
         return
-    _give_back_waiting(node, at)
+    _refuse_queued_callers(node, at)
     if journal.is_waiting:
         return
     if journal.in_flight is not None:
-        if at.now_s - journal.tried_s >= RETRY_S:
+        if at.now_s - journal.last_sent_s >= RETRY_S:
             _send(node, at)
         return
-    if at.now_s - journal.beat_s >= BEAT_INTERVAL_S:
-        journal.beat_s = at.now_s
-        write(node, at, Beat(node.ownership.epoch, round(at.now_s * 1000)))
+    if at.now_s - journal.heartbeat_s >= HEARTBEAT_INTERVAL_S:
+        journal.heartbeat_s = at.now_s
+        write(node, at, OwnerHeartbeat(node.ownership.epoch, round(at.now_s * 1000)))
     batch = journal.next
     if not batch.records and not batch.callers:
         return
@@ -148,12 +148,12 @@
     journal.data = (*own, *(data for item in batch.callers for data in item.records))
 
 
-def _give_back_waiting(node: Node, at: Moment) -> None:
+def _refuse_queued_callers(node: Node, at: Moment) -> None:
     """
     Refuse the records of callers that have waited too long behind a batch in flight.
     """
     callers = node.journal.next.callers
-    if not callers or at.now_s - callers[0].since_s < BEHIND_S:
+    if not callers or at.now_s - callers[0].since_s < MAX_QUEUED_S:
         return
     node.journal.next.callers = []
     for item in callers:
@@ -161,7 +161,7 @@
     log_line(node, "records.given_back", exchanges=len(callers), reason="append_in_flight")
 
 
-def _give_back_refused(node: Node, at: Moment) -> None:
+def _refuse_in_flight_callers(node: Node, at: Moment) -> None:
     """
     Take the records of callers out of a batch that the store certainly has not taken.
     """
@@ -169,7 +169,7 @@
     batch = journal.in_flight
     if batch is None or not batch.callers or journal.is_uncertain:
         return
-    if at.now_s - journal.sent_s < GIVE_BACK_S:
+    if at.now_s - journal.sent_s < REFUSE_AFTER_S:
         return
     log_line(node, "records.given_back", exchanges=len(batch.callers), reason="store_refuses")
     _answer_callers(node, batch, events.REFUSED)
@@ -181,7 +181,7 @@
 
 def _send(node: Node, at: Moment) -> None:
     journal = node.journal
-    journal.tried_s = at.now_s
+    journal.last_sent_s = at.now_s
     journal.is_waiting = True
     emit(
         node,
@@ -209,8 +209,8 @@
         return False
     if event.outcome == events.UNKNOWN:
         journal.is_uncertain = True
-    _give_back_refused(node, at)
-    if at.now_s - journal.logged_s < LOG_INTERVAL_S:
+    _refuse_in_flight_callers(node, at)
+    if at.now_s - journal.logged_s < RETRY_LOG_INTERVAL_S:
         return True
     journal.logged_s = at.now_s
     log_line(
@@ -228,11 +228,11 @@
     journal = node.journal
     batch = journal.in_flight
     journal.in_flight = None
-    node.ownership.confirmed_s = max(node.ownership.confirmed_s, journal.tried_s)
+    node.ownership.confirmed_s = max(node.ownership.confirmed_s, journal.last_sent_s)
     if batch is None:
         return
     for record in batch.records:
-        _fold.confirm(node.book, record)
+        _fold.confirm(node.replicated, record)
     _answer_callers(node, batch, events.OK)
     for worker_id, (incarnation, number) in batch.acks.items():
         worker = node.workers.get(worker_id)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_leases.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_leases.py
@@ -26,13 +26,13 @@
     :param node: the instance, which owns the log.
     :param at: the time.
     """
-    for worker_id in list(node.book.running):
+    for worker_id in list(node.replicated.running):
         worker = node.workers.get(worker_id)
         if worker is None:
-            if node.registry.ok_s < node.ownership.claimed_s:
+            if node.registry.last_success_s < node.ownership.claimed_s:
                 continue
             if at.now_s > _ownership.former_leases_end_s(node):
-                _lose_unknown(node, at, worker_id)
+                _lose_unlisted(node, at, worker_id)
             continue
         if worker.is_held and not worker.is_failing:
             continue
@@ -49,13 +49,13 @@
     :returns: time by this instance's clock.
     """
     if not worker.is_held:
-        return max(worker.doubt_until_s, _ownership.former_leases_end_s(node))
+        return max(worker.possible_runs_until_s, _ownership.former_leases_end_s(node))
     left_s = max(0, worker.granted_ms - worker.clock_ms) / 1000
     slowest_s = left_s * (1 + _ownership.CLOCK_DRIFT) + _ownership.LEASE_MARGIN_S
     return worker.clock_at_s + slowest_s
 
 
-def _lose_unknown(node: Node, at: Moment, worker_id: str) -> None:
+def _lose_unlisted(node: Node, at: Moment, worker_id: str) -> None:
     runs = list(runs_on(node, worker_id).values())
     log_line(node, "worker.runs_lost", worker=worker_id, reason="not_listed", runs=len(runs))
     for task in runs:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_node.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_node.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from . import effects
-from ._book import Book
 from ._records import Record
-from .model import Bounds, Config, InstanceRow, Room, RunRow, TaskKey, Wave, WorkerEntry
+from ._replicated_state import ReplicatedState
+from .model import Bounds, Config, InstanceRow, Resources, RunRow, TaskKey, Wave, WorkerEntry
 
 NEVER_S = 1e18
 
@@ -84,8 +84,8 @@
 
     :param seq: number of the append in flight, or of the last one.
     :param sent_s: when the append in flight was first sent.
-    :param tried_s: when it was last sent.
-    :param beat_s: when the newest beat was written.
+    :param last_sent_s: when it was last sent.
+    :param heartbeat_s: when the newest beat was written.
     :param logged_s: when a line about a failed append was last written.
     :param is_waiting: whether an answer to it is outstanding.
     :param is_uncertain: whether it may stand in the log already.
@@ -96,8 +96,8 @@
     data: tuple[bytes, ...] = ()
     seq: int = 0
     sent_s: float = 0.0
-    tried_s: float = 0.0
-    beat_s: float = -1e9
+    last_sent_s: float = 0.0
+    heartbeat_s: float = -1e9
     logged_s: float = -1e9
     is_waiting: bool = False
     is_uncertain: bool = False
@@ -126,23 +126,23 @@
     :param route: where the batch in flight was sent.
     :param outcomes: what became of batches that this instance, as the owner, appended itself.
     :param accepted: jobs that stand in the log but were not read from it yet, by time.
-    :param cancels: calls that wait until the log says whether their job exists.
+    :param pending_cancels: calls that wait until the log says whether their job exists.
     """
 
     waiting: deque[IntakeCall] = msgspec.field(default_factory=deque)
     batch: tuple[IntakeCall, ...] = ()
     data: tuple[bytes, ...] = ()
     seq: int = 0
-    tried_s: float = 0.0
+    last_sent_s: float = 0.0
     is_waiting: bool = False
     is_uncertain: bool = False
     is_failing: bool = False
     direct_until_s: float = 0.0
     route: Any = None
     outcomes: list[tuple[int, str]] = []
-    gone: set[int] = set()
+    abandoned: set[int] = set()
     accepted: dict[str, float] = {}
-    cancels: dict[str, list[tuple[int, float]]] = {}
+    pending_cancels: dict[str, list[tuple[int, float]]] = {}
 
 
 class Order(msgspec.Struct, eq=False):
@@ -173,7 +173,7 @@
     :param at_s: the worker's clock at that list, in seconds.
     :param rate: percent a second between the last two lists, or ``None``.
     :param best_rate: the highest of these.
-    :param still_s: for how long it has made no progress.
+    :param no_progress_s: for how long it has made no progress.
     """
 
     run: int
@@ -181,7 +181,7 @@
     at_s: float
     rate: float | None = None
     best_rate: float = 0.0
-    still_s: float = 0.0
+    no_progress_s: float = 0.0
 
 
 class Worker(msgspec.Struct, eq=False):
@@ -189,9 +189,9 @@
     What the owner knows of a worker.
 
     :param is_listed: whether the registry has an entry of it.
-    :param is_over: whether its life is known to have ended, whatever its entry says.
-    :param raises: how often this owner has raised its token for the worker.
-    :param doubt_until_s: until when a life that never answered may have runs.
+    :param has_ended: whether its life is known to have ended, whatever its entry says.
+    :param token_raises: how often this owner has raised its token for the worker.
+    :param possible_runs_until_s: until when a life that never answered may have runs.
     :param outbox: orders to start tasks that wait for others to be answered.
     :param outstanding: orders to start tasks without an answer.
     :param is_held: whether it has accepted this owner's token.
@@ -200,15 +200,15 @@
     :param holds: calls for its lists without an answer.
     :param handled: newest end that was taken up.
     :param acked: newest end that stands in the log.
-    :param told: newest end whose note the worker is known to have been told of.
+    :param ack_confirmed: newest end whose note the worker is known to have been told of.
     :param orders: starts by task.
     :param stops: when each stop was last sent.
     :param rows: what it listed last.
     :param rows_s: when the call that listed them was sent.
-    :param strays: room of runs that it lists and the book does not.
-    :param paces: percent that each paced task was last given.
+    :param unknown_runs: room of runs that it lists and the book does not.
+    :param throttles: percent that each paced task was last given.
     :param pace: pace of its backfill, once there was any.
-    :param closed_until_s: no starts before this time.
+    :param no_starts_until_s: no starts before this time.
     :param progress: how its runs get on, by task.
     :param slow_until_s: it counts as slow before this time.
     :param lists_due_s: when its lists should be here at the latest.
@@ -217,9 +217,9 @@
 
     entry: WorkerEntry
     is_listed: bool = True
-    is_over: bool = False
-    raises: int = 0
-    doubt_until_s: float = 0.0
+    has_ended: bool = False
+    token_raises: int = 0
+    possible_runs_until_s: float = 0.0
     outbox: deque[Any] = msgspec.field(default_factory=deque)
     outstanding: int = 0
     is_held: bool = False
@@ -232,15 +232,15 @@
     next_hold_s: float = 0.0
     handled: int = 0
     acked: int = 0
-    told: int = 0
+    ack_confirmed: int = 0
     orders: dict[TaskKey, Order] = {}
     stops: dict[TaskKey, tuple[int, float]] = {}
     rows: dict[TaskKey, RunRow] = {}
     rows_s: float = 0.0
-    strays: dict[TaskKey, Room] = {}
-    paces: dict[TaskKey, int] = {}
+    unknown_runs: dict[TaskKey, Resources] = {}
+    throttles: dict[TaskKey, int] = {}
     pace: Any = None
-    closed_until_s: float = 0.0
+    no_starts_until_s: float = 0.0
     failed_jobs: deque[str] = msgspec.field(default_factory=lambda: deque(maxlen=8))
     started_s: dict[TaskKey, float] = {}
     progress: dict[TaskKey, RunProgress] = {}
@@ -278,7 +278,7 @@
     :param listed_s: when the newest list was asked for.
     :param in_flight: orders without an answer, by instance.
     :param retry_s: earliest time of another order, by instance.
-    :param emptying: instances that take no new work, with the reason.
+    :param draining: instances that take no new work, with the reason.
     :param wave_of: the wave for which each is emptied.
     :param pool_of: the pool to which each is moved.
     :param down: instances that were ordered down and are not known to be back, since when.
@@ -291,7 +291,7 @@
     is_listing: bool = False
     in_flight: dict[str, float] = {}
     retry_s: dict[str, float] = {}
-    emptying: dict[str, str] = {}
+    draining: dict[str, str] = {}
     wave_of: dict[str, int] = {}
     pool_of: dict[str, str] = {}
     down: dict[str, float] = {}
@@ -317,27 +317,27 @@
     """
     Reading of the log.
 
-    :param is_read: whether the log was read to its end since the book was begun.
-    :param ok_s: when the newest answered read was sent.
-    :param steady_s: since when reads have not failed.
-    :param owner_s: when a record of the owner was last read.
-    :param gap_s: longest time between two reads with records of the owner, of late.
+    :param has_caught_up: whether the log was read to its end since the book was begun.
+    :param last_success_s: when the newest answered read was sent.
+    :param readable_since_s: since when reads have not failed.
+    :param owner_record_s: when a record of the owner was last read.
+    :param owner_gap_s: longest time between two reads with records of the owner, of late.
     :param wait_s: how long the read under way may wait at the store.
-    :param delay_s: how long the store takes for an answer beyond that, of late.
+    :param store_delay_s: how long the store takes for an answer beyond that, of late.
     """
 
     is_reading: bool = False
     next_read_s: float = 0.0
     is_caught_up: bool = False
-    is_read: bool = False
+    has_caught_up: bool = False
     needs_snapshot: bool = True
-    ok_s: float = -1e9
+    last_success_s: float = -1e9
     answered_s: float = -1e9
-    steady_s: float = 1e18
-    owner_s: float = 0.0
-    gap_s: float = 0.0
+    readable_since_s: float = 1e18
+    owner_record_s: float = 0.0
+    owner_gap_s: float = 0.0
     wait_s: float = 0.0
-    delay_s: float = 0.0
+    store_delay_s: float = 0.0
 
 
 class Ownership(msgspec.Struct, eq=False):
@@ -348,7 +348,7 @@
     :param claimed_s: when it came to own the log.
     :param confirmed_s: when the newest append that succeeded was sent.
     :param next_claim_s: earliest time of another claim.
-    :param floor: epoch that the store refused.
+    :param refused_epoch: epoch that the store refused.
     """
 
     is_owner: bool = False
@@ -358,11 +358,11 @@
     claim_sent_s: float = 0.0
     next_claim_s: float = 0.0
     is_claiming: bool = False
-    floor: int = 0
+    refused_epoch: int = 0
     reload_wanted: bool = False
 
 
-class Follow(msgspec.Struct, eq=False):
+class Subscription(msgspec.Struct, eq=False):
     """
     Reading of records that others write.
     """
@@ -370,7 +370,7 @@
     cursor: int | None = None
     is_reading: bool = False
     next_read_s: float = 0.0
-    ok_s: float = -1e9
+    last_success_s: float = -1e9
 
 
 class Node(msgspec.Struct, eq=False):
@@ -379,19 +379,19 @@
 
     :param silent_zones: availability zones whose workers seem to be cut off.
     :param best_rates: highest progress of a run in percent a second, by job, occurrence and step.
-    :param began_s: when the process began.
+    :param process_start_s: when the process began.
     """
 
     identity: Identity
     bounds: Bounds
-    book: Book = msgspec.field(default_factory=Book)
+    replicated: ReplicatedState = msgspec.field(default_factory=ReplicatedState)
     tail: Tail = msgspec.field(default_factory=Tail)
     ownership: Ownership = msgspec.field(default_factory=Ownership)
     journal: Journal = msgspec.field(default_factory=Journal)
     intake: Intake = msgspec.field(default_factory=Intake)
     config: Config | None = None
-    operator: Follow = msgspec.field(default_factory=Follow)
-    registry: Follow = msgspec.field(default_factory=Follow)
+    operator: Subscription = msgspec.field(default_factory=Subscription)
+    registry: Subscription = msgspec.field(default_factory=Subscription)
     workers: dict[str, Worker] = {}
     waves: dict[int, WaveState] = {}
     fleet: Fleet = msgspec.field(default_factory=Fleet)
@@ -401,7 +401,7 @@
     pools: dict[str, Any] = {}
     pools_s: float = 0.0
     avoid: dict[TaskKey, set[str]] = {}
-    began_s: float = -1.0
+    process_start_s: float = -1.0
     is_stopping: bool = False
     stop_asked_s: float = 0.0
     plan_due: bool = False
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_operator.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_operator.py
@@ -36,7 +36,7 @@
     operator = node.operator
     operator.is_reading = False
     operator.cursor = event.cursor
-    operator.ok_s = event.sent_s
+    operator.last_success_s = event.sent_s
     known = node.config.version if node.config else -1
     if event.config is not None and event.config.version > known:
         node.config = event.config
@@ -83,5 +83,5 @@
         "config.unreadable",
         reason=event.reason,
         version=node.config.version if node.config else None,
-        age_s=round(min(at.now_s - operator.ok_s, 1e6), 3),
+        age_s=round(min(at.now_s - operator.last_success_s, 1e6), 3),
     )
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_orders.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_orders.py
@@ -7,10 +7,10 @@
 whether it was carried out, and if not, a stop bars the run before the task starts anew.
 """
 
-from . import _book, _journal, _leases, _workers, effects, events
-from ._book import Task
+from . import _journal, _leases, _replicated_state, _workers, effects, events
 from ._node import NEVER_S, Moment, Node, Order, Worker, emit, log_line
 from ._records import Started
+from ._replicated_state import Task
 from ._runs import end_run, runs_on, token_of
 
 # An order is void after this, so that one that is carried out late does no harm.
@@ -38,7 +38,7 @@
     record = Started(node.ownership.epoch, *key, run, worker.id, worker.entry.incarnation)
     _journal.write(node, at, record)
     worker.orders[key] = Order(run, ticket=ticket)
-    job = node.book.jobs[key.job]
+    job = node.replicated.jobs[key.job]
     order = effects.StartTask(
         worker.id,
         worker.entry.address,
@@ -47,10 +47,10 @@
         job.spec.payload,
         0,
         token_of(node, worker),
-        task.saved,
+        task.checkpoint,
         ticket,
     )
-    _journal.follow_with(node, order)
+    _journal.emit_after_commit(node, order)
     log_line(
         node,
         "run.decided",
@@ -77,8 +77,8 @@
     order = worker.orders.get(effect.key) if worker is not None else None
     if worker is None or task is None or order is None or order.run != effect.run:
         return
-    job = node.book.jobs[effect.key.job]
-    is_open = not job.cancelled and job.state not in _book.FINAL_STATES
+    job = node.replicated.jobs[effect.key.job]
+    is_open = not job.cancelled and job.state not in _replicated_state.FINAL_STATES
     if not is_open or not worker.is_held or worker.is_failing or worker.entry.is_draining:
         end_run(node, at, worker, task, UNSENT)
         return
@@ -148,7 +148,7 @@
         order.unanswered_s = at.now_s
         _workers.look(node, at, worker)
         return
-    worker.closed_until_s = at.now_s + REFUSED_PAUSE_S
+    worker.no_starts_until_s = at.now_s + REFUSED_PAUSE_S
     if event.outcome == events.UNSENT:
         worker.next_hold_s = at.now_s
     end_run(node, at, worker, task, UNSENT if event.outcome == events.UNSENT else REFUSED)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ownership.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ownership.py
@@ -11,32 +11,32 @@
 import xxhash
 
 from . import _journal, effects, events
-from ._node import Fleet, Follow, Moment, Node, emit, log_line
+from ._node import Fleet, Moment, Node, Subscription, emit, log_line
 from ._records import Claimed, Released, encode_records
 from .model import Bounds
 
 CHANNEL = "claim"
 # Silence of the owner after which its log is claimed: three of its beats.
-SILENCE_S = 0.6
+OWNER_TIMEOUT_S = 0.6
 # More silence where the store takes long for an answer, as multiples of that: the owner's append
 # and the read that shows it.
-DELAY_FACTOR = 2.0
+STORE_DELAY_FACTOR = 2.0
 # Silence as a multiple of the longest gap between the owner's records of late, and its bound.
-GAP_FACTOR = 2.0
-MOST_SILENCE_S = 2.4
+OWNER_GAP_FACTOR = 2.0
+MAX_OWNER_TIMEOUT_S = 2.4
 # After a claim that failed, another one is sent no sooner than this: time to read who has the log.
-CLAIM_PAUSE_S = 0.4
+CLAIM_BACKOFF_S = 0.4
 # Spread of the claims of several instances, so that the first is seen by the others.
-SPREAD_S = 0.1
-SPREAD_STEPS = 16
+CLAIM_JITTER_S = 0.1
+CLAIM_JITTER_STEPS = 16
 # Instances that started lately claim first, by up to this much: a rolling restart comes to them
 # last. From this age on it makes no difference.
-AGE_SPREAD_S = 0.2
-OLD_S = 60.0
+MAX_AGE_DELAY_S = 0.2
+OLD_INSTANCE_S = 60.0
 # Instances with a narrow link or little processor time claim last, by up to this much: the owner
 # sends all orders. It exceeds the time between two reads of the log, by which others learn of a
 # silence.
-WEAK_SPREAD_S = 0.6
+MAX_WEAKNESS_DELAY_S = 0.6
 # A claim without an answer is given up after this; if it was done, the log shows it.
 CLAIM_TIMEOUT_S = 1.5
 # Clocks of workers may be this much slow; leases are waited out by it.
@@ -45,7 +45,7 @@
 LEASE_MARGIN_S = 0.3
 
 
-def consider_claim(node: Node, at: Moment) -> None:
+def claim_if_owner_silent(node: Node, at: Moment) -> None:
     """
     Claim the log if its owner seems gone.
 
@@ -59,13 +59,13 @@
         if at.now_s - ownership.claim_sent_s > CLAIM_TIMEOUT_S:
             ownership.is_claiming = False
         return
-    quiet_s = node.tail.answered_s - max(node.tail.owner_s, node.tail.steady_s)
-    wait_s = spread_s(node, at)
-    if node.book.owner is not None:
-        wait_s += _silence_s(node)
+    quiet_s = node.tail.answered_s - max(node.tail.owner_record_s, node.tail.readable_since_s)
+    wait_s = claim_delay_s(node, at)
+    if node.replicated.owner is not None:
+        wait_s += _owner_timeout_s(node)
     if node.config is None or quiet_s < wait_s or at.now_s < ownership.next_claim_s:
         return
-    epoch = max(node.book.epoch, ownership.floor) + 1
+    epoch = max(node.replicated.epoch, ownership.refused_epoch) + 1
     ownership.is_claiming = True
     ownership.claim_sent_s = at.now_s
     identity = node.identity
@@ -74,22 +74,25 @@
         node,
         "owner.claiming",
         epoch=epoch,
-        former=node.book.owner,
+        former=node.replicated.owner,
         quiet_s=round(quiet_s, 3),
-        offset=node.book.offset,
+        offset=node.replicated.offset,
     )
     data = tuple(encode_records([record]))
     emit(node, effects.Append(CHANNEL, _journal.PRODUCER, epoch, 1, data))
     node.tail.next_read_s = at.now_s
 
 
-def _silence_s(node: Node) -> float:
+def _owner_timeout_s(node: Node) -> float:
     tail = node.tail
-    silence_s = max(SILENCE_S + DELAY_FACTOR * tail.delay_s, GAP_FACTOR * tail.gap_s)
-    return min(MOST_SILENCE_S, silence_s)
+    timeout_s = max(
+        OWNER_TIMEOUT_S + STORE_DELAY_FACTOR * tail.store_delay_s,
+        OWNER_GAP_FACTOR * tail.owner_gap_s,
+    )
+    return min(MAX_OWNER_TIMEOUT_S, timeout_s)
 
 
-def spread_s(node: Node, at: Moment) -> float:
+def claim_delay_s(node: Node, at: Moment) -> float:
     """
     Give this instance's place among those that would claim the next epoch.
 
@@ -97,13 +100,13 @@
     :param at: the time.
     :returns: seconds to wait.
     """
-    seed = f"{node.identity.producer}/{node.book.epoch}"
-    place = xxhash.xxh64_intdigest(seed.encode()) % SPREAD_STEPS
-    age_s = min(OLD_S, at.now_s - node.began_s)
+    seed = f"{node.identity.producer}/{node.replicated.epoch}"
+    slot = xxhash.xxh64_intdigest(seed.encode()) % CLAIM_JITTER_STEPS
+    age_s = min(OLD_INSTANCE_S, at.now_s - node.process_start_s)
     return (
-        SPREAD_S * place / SPREAD_STEPS
-        + AGE_SPREAD_S * age_s / OLD_S
-        + WEAK_SPREAD_S * node.identity.weakness
+        CLAIM_JITTER_S * slot / CLAIM_JITTER_STEPS
+        + MAX_AGE_DELAY_S * age_s / OLD_INSTANCE_S
+        + MAX_WEAKNESS_DELAY_S * node.identity.weakness
     )
 
 
@@ -119,9 +122,9 @@
     if event.outcome == events.OK:
         return
     ownership.is_claiming = False
-    ownership.next_claim_s = at.now_s + CLAIM_PAUSE_S
+    ownership.next_claim_s = at.now_s + CLAIM_BACKOFF_S
     if event.outcome == events.FENCED:
-        ownership.floor = max(ownership.floor, node.book.epoch) + 1
+        ownership.refused_epoch = max(ownership.refused_epoch, node.replicated.epoch) + 1
     log_line(node, "owner.claim_failed", outcome=event.outcome, detail=event.detail)
 
 
@@ -134,7 +137,7 @@
     :param record: the claim.
     :returns: whether this instance has just come to own the log.
     """
-    if record.epoch != node.book.epoch:
+    if record.epoch != node.replicated.epoch:
         return False
     ownership = node.ownership
     is_own = (record.instance, record.incarnation) == node.identity[:2]
@@ -157,9 +160,9 @@
     ownership.claimed_s = at.now_s
     ownership.confirmed_s = ownership.claim_sent_s
     _journal.reset(node, 1)
-    node.journal.sent_s = node.journal.beat_s = at.now_s
+    node.journal.sent_s = node.journal.heartbeat_s = at.now_s
     node.workers = {}
-    node.registry = Follow()
+    node.registry = Subscription()
     node.fleet = Fleet()
     node.advice = {}
     node.best_rates = {}
@@ -171,9 +174,9 @@
         node,
         "owner.began",
         epoch=record.epoch,
-        offset=node.book.offset,
-        jobs=len(node.book.open_jobs),
-        runs=sum(len(runs) for runs in node.book.running.values()),
+        offset=node.replicated.offset,
+        jobs=len(node.replicated.open_jobs),
+        runs=sum(len(runs) for runs in node.replicated.running.values()),
         claim_s=round(at.now_s - ownership.claim_sent_s, 3),
     )
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_pacing.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_pacing.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from . import effects, events
-from ._book import find_task
 from ._node import Moment, Node, Worker, emit, log_line
+from ._replicated_state import find_task
 from ._runs import token_of
 from .model import RunRow, Step, TaskKey
 
@@ -69,8 +69,8 @@
         )
         pace.percent, pace.changed_s = wanted, at.now_s
     for row in fillers:
-        if worker.paces.get(row.key, FULL_PERCENT) != pace.percent:
-            worker.paces[row.key] = pace.percent
+        if worker.throttles.get(row.key, FULL_PERCENT) != pace.percent:
+            worker.throttles[row.key] = pace.percent
             _send(node, worker, row, pace.percent)
 
 
@@ -89,9 +89,9 @@
 
 
 def _step_of(node: Node, key: TaskKey) -> Step | None:
-    if find_task(node.book, key) is None:
+    if find_task(node.replicated, key) is None:
         return None
-    return node.book.jobs[key.job].spec.steps[key.step]
+    return node.replicated.jobs[key.job].spec.steps[key.step]
 
 
 def next_percent(pace: WorkerPace, worst: float, now_s: float) -> int:
@@ -144,6 +144,6 @@
     worker = node.workers.get(event.worker)
     if worker is None or event.outcome == events.OK:
         return
-    if worker.paces.get(event.key) == event.percent:
-        del worker.paces[event.key]
+    if worker.throttles.get(event.key) == event.percent:
+        del worker.throttles[event.key]
     log_line(node, "run.not_paced", worker=worker.id, run=event.run, outcome=event.outcome)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_planner.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_planner.py
@@ -7,13 +7,13 @@
 
 from collections import Counter
 
-from . import _advice, _book, _journal, _orders, _ready, _sites
-from ._book import Job, Task, occurrence_of
+from . import _advice, _journal, _orders, _ready, _replicated_state, _sites
 from ._node import Moment, Node, log_line
 from ._ready import Ready
+from ._replicated_state import Job, Task, occurrence_of
 from ._runs import close_job
 from ._sites import Site
-from .model import NO_ROOM, Room, Step
+from .model import NO_RESOURCES, Resources, Step
 
 # A task of a suspect worker is tried this often.
 SUSPECT_PAUSE_S = 2.0
@@ -34,16 +34,16 @@
         :param sites: the workers that take tasks.
         """
         self.sites = sites
-        self.refused: list[Room] = []
+        self.refused: list[Resources] = []
 
-    def may_fit(self, room: Room) -> bool:
+    def may_fit(self, resources: Resources) -> bool:
         """
         Tell whether a room is worth trying.
 
-        :param room: what a task needs.
+        :param resources: what a task needs.
         :returns: whether it needs less than what was refused, in one part at least.
         """
-        return bool(self.sites) and not any(former.fits(room) for former in self.refused)
+        return bool(self.sites) and not any(former.fits(resources) for former in self.refused)
 
 
 def plan(node: Node, at: Moment) -> None:
@@ -70,7 +70,7 @@
     ready.sort(key=lambda item: item.order)
     for item in ready:
         pool = _pool(node, at, pools, item)
-        if pool.may_fit(item.state.room):
+        if pool.may_fit(item.state.resources):
             _place_step(node, at, item, pool)
     if any(pool.refused for pool in pools.values()):
         node.next_plan_s = at.now_s + BUSY_INTERVAL_S
@@ -85,8 +85,8 @@
 
 
 def _close_cancelled(node: Node, at: Moment) -> None:
-    for job in [job for job in node.book.open_jobs.values() if job.cancelled]:
-        close_job(node, at, job, _book.CANCELLED)
+    for job in [job for job in node.replicated.open_jobs.values() if job.cancelled]:
+        close_job(node, at, job, _replicated_state.CANCELLED)
 
 
 def _prefetch(node: Node, at: Moment, item: Ready, pool: Pool) -> None:
@@ -95,7 +95,7 @@
 
 
 def _place_step(node: Node, at: Moment, item: Ready, pool: Pool) -> None:
-    waiting = [task for task in item.state.tasks if task.status == _book.WAITING]
+    waiting = [task for task in item.state.tasks if task.status == _replicated_state.WAITING]
     if item.state.step.gang:
         _place_gang(node, at, item, waiting, pool)
         return
@@ -118,7 +118,7 @@
     step = item.state.step
     is_plain = not step.max_per_worker and not item.queue.has_advice
     is_welcome = task.key not in node.avoid and not _sites.is_suspect(site.worker)
-    return is_plain and is_welcome and item.state.room.fits(site.free[0])
+    return is_plain and is_welcome and item.state.resources.fits(site.free[0])
 
 
 def _home_zone(node: Node, item: Ready, sites: list[Site]) -> str:
@@ -128,12 +128,12 @@
 
     :returns: the zone, or empty for work that lasts.
     """
-    if item.state.step.lasts:
+    if item.state.step.is_long_running:
         return ""
     for state in occurrence_of(item.job, item.occurrence):
         for task in state.tasks:
             worker = node.workers.get(task.worker)
-            if task.status == _book.RUNNING and worker is not None:
+            if task.status == _replicated_state.RUNNING and worker is not None:
                 return worker.entry.zone
     free: Counter[str] = Counter()
     for site in sites:
@@ -151,9 +151,9 @@
     if len(taken) < len(waiting):
         return
     run = _orders.next_run(waiting)
-    saved = next((task.saved for task in waiting if task.saved), "")
+    saved = next((task.checkpoint for task in waiting if task.checkpoint), "")
     for task, site in zip(waiting, taken, strict=True):
-        task.saved = saved
+        task.checkpoint = saved
         _start(node, at, item, task, site, run)
 
 
@@ -199,7 +199,7 @@
         if site is None:
             break
         seats[site.worker.id] += 1
-        site.free[0] = site.free[0].minus(item.state.room)
+        site.free[0] = site.free[0].minus(item.state.resources)
         taken.append(site)
     return taken
 
@@ -217,7 +217,7 @@
     workspace = node.config.workspaces.get(job.workspace) if node.config else None
     if workspace is None:
         return count
-    used = node.book.used.get(job.workspace, NO_ROOM)
+    used = node.replicated.used.get(job.workspace, NO_RESOURCES)
     for limit, have, need in zip(workspace.limit, used, step.need, strict=True):
         if limit and need:
             count = min(count, max(0, (limit - have) // need))
@@ -227,7 +227,7 @@
 def _choose(
     node: Node, at: Moment, item: Ready, task: Task, pool: Pool, home: str = ""
 ) -> Site | None:
-    step, room = item.state.step, item.state.room
+    step, resources = item.state.step, item.state.resources
     avoid = node.avoid.get(task.key, ())
     counts = _sites.seat_counts(item.state) if step.max_per_worker else None
     best: Site | None = None
@@ -235,7 +235,7 @@
     had_room = False
     for site in pool.sites:
         worker = site.worker
-        if not room.fits(site.free[0]):
+        if not resources.fits(site.free[0]):
             continue
         had_room = True
         if not _sites.has_label(step, worker):
@@ -255,7 +255,7 @@
         if best is None or score > best_score:
             best, best_score = site, score
     if not had_room:
-        pool.refused.append(room)
+        pool.refused.append(resources)
     elif best is None and item.queue.has_advice:
         workers = _sites.with_room(item.state, pool.sites)
         _advice.ask(node, at, item.job, item.occurrence, item.at, workers)
@@ -266,7 +266,7 @@
     worker = site.worker
     ticket = _advice.ticket(node, at, item, worker.id) if item.queue.has_advice else ""
     _orders.start(node, at, worker, task, run, ticket)
-    site.free[0] = site.free[0].minus(item.state.room)
+    site.free[0] = site.free[0].minus(item.state.resources)
     if _sites.is_suspect(worker):
-        worker.closed_until_s = at.now_s + SUSPECT_PAUSE_S
+        worker.no_starts_until_s = at.now_s + SUSPECT_PAUSE_S
         log_line(node, "worker.suspect", worker=worker.id, failed_jobs=list(worker.failed_jobs))
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_pools.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_pools.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from . import _book, _ready, _sites
-from ._book import occurrence_of
+from . import _ready, _replicated_state, _sites
 from ._instances import MOVE, UP
 from ._node import Moment, Node, Worker, log_line
-from .model import Room
+from ._replicated_state import occurrence_of
+from .model import Resources
 
 # Work that waits is met as if it were to be worked off at once; of later steps, this part.
 LATER_PART = 0.5
@@ -102,16 +102,16 @@
 def _demands(node: Node) -> dict[str, Demand]:
     lasting: dict[str, set[str]] = defaultdict(set)
     millicores: dict[str, float] = defaultdict(float)
-    for worker_id, runs in node.book.running.items():
+    for worker_id, runs in node.replicated.running.items():
         worker = node.workers.get(worker_id)
         if worker is None:
             continue
         service = worker.entry.service
-        millicores[service] += node.book.load.get(worker_id, Room()).millicores
+        millicores[service] += node.replicated.load.get(worker_id, Resources()).millicores
         for key in runs:
-            if node.book.jobs[key.job].spec.steps[key.step].lasts:
+            if node.replicated.jobs[key.job].spec.steps[key.step].is_long_running:
                 lasting[service].add(worker_id)
-    for job in node.book.open_jobs.values():
+    for job in node.replicated.open_jobs.values():
         queue = _ready.queue_of(node, job)
         if queue is not None:
             millicores[queue.service] += _waiting(job)
@@ -127,14 +127,14 @@
     )
 
 
-def _waiting(job: _book.Job) -> float:
+def _waiting(job: _replicated_state.Job) -> float:
     millicores = 0.0
     for number in job.occurrences or (0,):
         for index, state in enumerate(occurrence_of(job, number)):
             if not state.waiting:
                 continue
-            part = 1.0 if _book.is_released(job, number, index) else LATER_PART
-            millicores += part * state.waiting * state.room.millicores
+            part = 1.0 if _replicated_state.is_released(job, number, index) else LATER_PART
+            millicores += part * state.waiting * state.resources.millicores
     return millicores
 
 
@@ -147,7 +147,7 @@
     for row in fleet.rows.values():
         if row.instance in fleet.pool_of:
             members[fleet.pool_of[row.instance]] += 1
-        elif row.state in (UP, MOVING) and row.instance not in fleet.emptying:
+        elif row.state in (UP, MOVING) and row.instance not in fleet.draining:
             worker = node.workers.get(row.worker)
             if worker is None or _counts(worker, at):
                 members[row.pool] += 1
@@ -186,7 +186,7 @@
 
 def _is_free(node: Node, instance: str) -> bool:
     fleet = node.fleet
-    is_taken = instance in fleet.emptying or instance in fleet.down
+    is_taken = instance in fleet.draining or instance in fleet.down
     return not is_taken and instance not in fleet.in_flight
 
 
@@ -245,7 +245,7 @@
 
 def _move(node: Node, at: Moment, instance: str, pool: str) -> None:
     row = node.fleet.rows[instance]
-    node.fleet.emptying[instance] = MOVE
+    node.fleet.draining[instance] = MOVE
     node.fleet.pool_of[instance] = pool
     log_line(
         node,
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_progress.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_progress.py
@@ -6,9 +6,9 @@
 A task is moved only when it would end sooner elsewhere and there is room for it.
 """
 
-from . import _book, _emptying, _runs
-from ._book import StepState, Task, find_task, occurrence_of
+from . import _emptying, _replicated_state, _runs
 from ._node import Moment, Node, RunProgress, Worker, log_line
+from ._replicated_state import StepState, Task, find_task, occurrence_of
 from .model import RunRow
 
 # Progress is compared over at least this long, since the shortest tasks take some tenths of a
@@ -64,13 +64,13 @@
 
 
 def _watched_task(node: Node, worker: Worker, row: RunRow) -> Task | None:
-    task = find_task(node.book, row.key)
-    if task is None or task.status != _book.RUNNING or task.run != row.run:
+    task = find_task(node.replicated, row.key)
+    if task is None or task.status != _replicated_state.RUNNING or task.run != row.run:
         return None
     if task.worker != worker.id or row.key in worker.stops:
         return None
-    step = node.book.jobs[row.key.job].spec.steps[row.key.step]
-    return None if step.lasts or step.is_backfill else task
+    step = node.replicated.jobs[row.key.job].spec.steps[row.key.step]
+    return None if step.is_long_running or step.is_backfill else task
 
 
 def _measure(node: Node, worker: Worker, task: Task, row: RunRow) -> None:
@@ -86,14 +86,16 @@
         return
     progress.rate = (row.percent - progress.percent) / passed_s
     progress.best_rate = max(progress.best_rate, progress.rate)
-    progress.still_s = progress.still_s + passed_s if row.percent == progress.percent else 0.0
+    progress.no_progress_s = (
+        progress.no_progress_s + passed_s if row.percent == progress.percent else 0.0
+    )
     progress.percent, progress.at_s = row.percent, now_s
     step = task.key[:3]
     node.best_rates[step] = max(node.best_rates.get(step, 0.0), progress.rate)
 
 
 def _state_of(node: Node, task: Task) -> StepState:
-    job = node.book.jobs[task.key.job]
+    job = node.replicated.jobs[task.key.job]
     return occurrence_of(job, task.key.occurrence)[task.key.step]
 
 
@@ -102,7 +104,7 @@
     if progress.rate is None:
         return False
     return (
-        progress.still_s >= STILL_S
+        progress.no_progress_s >= STILL_S
         or progress.rate < SLOW_PART * progress.best_rate
         or progress.rate < SLOW_PART_OF_STEP * node.best_rates[task.key[:3]]
     )
@@ -117,7 +119,7 @@
         site = _emptying.find_site(state, free)
         if site is None:
             continue
-        site.free[0] = site.free[0].minus(state.room)
+        site.free[0] = site.free[0].minus(state.resources)
         progress = worker.progress[task.key]
         log_line(
             node,
@@ -144,7 +146,7 @@
         # Nothing is known of its speed elsewhere but that it has none here.
         elsewhere_s = state.step.estimate_ms / 1000
     else:
-        elsewhere_s = (left if state.step.saves else 100) / best_rate
+        elsewhere_s = (left if state.step.is_checkpointing else 100) / best_rate
     return here_s > GAIN_FACTOR * elsewhere_s + MOVE_S
 
 
@@ -154,5 +156,5 @@
 
     :param node: the instance.
     """
-    for key in [key for key in node.best_rates if key[0] not in node.book.open_jobs]:
+    for key in [key for key in node.best_rates if key[0] not in node.replicated.open_jobs]:
         del node.best_rates[key]
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ready.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ready.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from ._book import Job, StepState, is_released, occurrence_of
 from ._node import Moment, Node
+from ._replicated_state import Job, StepState, is_released, occurrence_of
 from .model import Queue, Step
 
 
@@ -37,7 +37,7 @@
     :param at: the time.
     :returns: the steps, in no order; those that may not start yet have an empty `Ready.order`.
     """
-    for job in node.book.open_jobs.values():
+    for job in node.replicated.open_jobs.values():
         queue = queue_of(node, job)
         if queue is None:
             continue
@@ -100,13 +100,13 @@
 
 def _order(job: Job, queue: Queue, number: int, index: int, at: Moment) -> tuple[float, ...]:
     step = job.spec.steps[index]
-    if step.lasts:
+    if step.is_long_running:
         return (0.0, float(step.is_backfill), job.seen_s)
     since_s = job.seen_s
     if job.spec.repeats:
         start_ms = job.spec.start_at_ms + number * job.spec.interval_ms
         since_s = at.now_s - (at.wall_ms - start_ms) / 1000
-    if not job.chains_s:
-        job.chains_s = chains_s(job.spec.steps)
-    objective_s = queue.slack_factor * job.chains_s[0] + queue.target_ms / 1000
-    return (1.0, float(queue.priority), since_s + objective_s - job.chains_s[index])
+    if not job.critical_path_s:
+        job.critical_path_s = chains_s(job.spec.steps)
+    objective_s = queue.slack_factor * job.critical_path_s[0] + queue.target_ms / 1000
+    return (1.0, float(queue.priority), since_s + objective_s - job.critical_path_s[index])
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_records.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_records.py
@@ -63,7 +63,7 @@
     epoch: int
 
 
-class Beat(_Record, frozen=True, tag="b"):
+class OwnerHeartbeat(_Record, frozen=True, tag="b"):
     """
     The owner is alive.
 
@@ -93,7 +93,7 @@
     """
     A run has ended.
 
-    :param how: ``done``, ``failed``, ``stopped`` and so on, or ``lost``.
+    :param end_state: ``done``, ``failed``, ``stopped`` and so on, or ``lost``.
     """
 
     epoch: int
@@ -102,8 +102,8 @@
     step: int
     index: int
     run: int
-    how: str
-    saved: str
+    end_state: str
+    checkpoint: str
 
 
 class Closed(_Record, frozen=True, tag="f"):
@@ -158,7 +158,7 @@
     | Cancelled
     | Claimed
     | Released
-    | Beat
+    | OwnerHeartbeat
     | Started
     | Ended
     | Closed
@@ -167,9 +167,25 @@
     | WaveClosed
 )
 OwnerRecord = (
-    Released | Beat | Started | Ended | Closed | InstanceOrdered | InstanceDone | WaveClosed
+    Released
+    | OwnerHeartbeat
+    | Started
+    | Ended
+    | Closed
+    | InstanceOrdered
+    | InstanceDone
+    | WaveClosed
+)
+OWNER_RECORDS = (
+    Released,
+    OwnerHeartbeat,
+    Started,
+    Ended,
+    Closed,
+    InstanceOrdered,
+    InstanceDone,
+    WaveClosed,
 )
-OWNER_RECORDS = (Released, Beat, Started, Ended, Closed, InstanceOrdered, InstanceDone, WaveClosed)
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Record)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_reduce.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_reduce.py
@@ -45,8 +45,8 @@
     :returns: the effects to carry out, in order.
     """
     node.out = []
-    if node.began_s < 0:
-        node.began_s = at.now_s
+    if node.process_start_s < 0:
+        node.process_start_s = at.now_s
     _HANDLERS[type(event)](node, at, event)
     _advance(node, at)
     produced, node.out = node.out, []
@@ -70,7 +70,7 @@
     _intake.expire(node, at)
     if node.ownership.reload_wanted and not node.ownership.is_owner:
         _tail.reload(node, at, "ownership_lost")
-    _ownership.consider_claim(node, at)
+    _ownership.claim_if_owner_silent(node, at)
     if node.ownership.is_owner:
         _registry.read_registry(node, at)
         _leases.expire_leases(node, at)
@@ -79,11 +79,11 @@
         _waves.advance(node, at)
         _pools.advance(node, at)
         _instances.empty_instances(node, at)
-        _snapshot.consider(node, at)
+        _snapshot.write_if_due(node, at)
         node.plan_due = True
     if at.now_s - node.forget_s >= FORGET_INTERVAL_S:
         node.forget_s = at.now_s
-        _fold.forget_closed(node.book, at.now_s, node.bounds.status_s)
+        _fold.remove_expired(node.replicated, at.now_s, node.bounds.status_s)
         _advice.forget(node)
         _progress.forget(node)
     _stopping.advance(node, at)
@@ -107,7 +107,7 @@
     if node.journal.in_flight is None and in_flight is not None:
         _workers.wake_acknowledged(node, at, list(in_flight.acks))
         if event.outcome == events.OK:
-            _tail.fold_callers(node, at, callers)
+            _tail.fold_callers_records(node, at, callers)
         # Orders whose records now stand in the log are checked once more before they go out.
         produced, node.out = node.out, []
         for effect in produced:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_registry.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_registry.py
@@ -39,17 +39,17 @@
     registry.is_reading = False
     registry.cursor = event.cursor
     registry.next_read_s = at.now_s + REGISTRY_INTERVAL_S
-    registry.ok_s = at.now_s
+    registry.last_success_s = at.now_s
     if not node.ownership.is_owner:
         return
     for worker_id, entry in event.entries.items():
         if entry is None:
-            _unlist(node, worker_id)
+            _unlist_worker(node, worker_id)
         else:
-            _list(node, at, entry)
+            _list_worker(node, at, entry)
     if event.is_full:
         for worker_id in node.workers.keys() - event.entries.keys():
-            _unlist(node, worker_id)
+            _unlist_worker(node, worker_id)
     node.plan_due = True
 
 
@@ -70,27 +70,27 @@
     log_line(node, "registry.unreadable", reason=event.reason, restart=event.restart)
 
 
-def _list(node: Node, at: Moment, entry: WorkerEntry) -> None:
+def _list_worker(node: Node, at: Moment, entry: WorkerEntry) -> None:
     worker = node.workers.get(entry.id)
     if worker is None:
         worker = node.workers[entry.id] = Worker(entry, clock_at_s=at.now_s)
-        log_line(node, "worker.listed", **_described(entry))
+        log_line(node, "worker.listed", **_entry_fields(entry))
         return
     if entry.incarnation and worker.entry.incarnation not in (0, entry.incarnation):
         if entry.incarnation < worker.entry.incarnation:
             return
-        restarted(node, at, worker, entry.incarnation)
-    if worker.is_over:
+        reset_incarnation(node, at, worker, entry.incarnation)
+    if worker.has_ended:
         return
     if entry.is_draining and not worker.entry.is_draining:
         log_line(node, "worker.draining", worker=entry.id, remaining_ms=entry.remaining_ms)
     if not worker.is_listed:
-        log_line(node, "worker.listed", **_described(entry))
+        log_line(node, "worker.listed", **_entry_fields(entry))
     worker.is_listed = True
     worker.entry = entry
 
 
-def _described(entry: WorkerEntry) -> dict[str, str]:
+def _entry_fields(entry: WorkerEntry) -> dict[str, str]:
     return {
         "worker": entry.id,
         "service": entry.service,
@@ -99,14 +99,14 @@
     }
 
 
-def _unlist(node: Node, worker_id: str) -> None:
+def _unlist_worker(node: Node, worker_id: str) -> None:
     worker = node.workers.get(worker_id)
     if worker is not None and worker.is_listed:
         worker.is_listed = False
         log_line(node, "worker.unlisted", worker=worker_id, runs=len(runs_on(node, worker_id)))
 
 
-def end_life(node: Node, at: Moment, worker: Worker, reason: str) -> None:
+def end_incarnation(node: Node, at: Moment, worker: Worker, reason: str) -> None:
     """
     Take note that a worker is gone, before its entry in the registry lapses.
 
@@ -115,12 +115,12 @@
     :param worker: the worker.
     :param reason: why, for the log.
     """
-    worker.is_over = True
+    worker.has_ended = True
     worker.is_listed = False
     lose_all(node, at, worker, reason)
 
 
-def restarted(node: Node, at: Moment, worker: Worker, incarnation: int) -> None:
+def reset_incarnation(node: Node, at: Moment, worker: Worker, incarnation: int) -> None:
     log_line(
         node,
         "worker.restarted",
@@ -133,12 +133,12 @@
     raise_token(worker)
     worker.orders.clear()
     worker.stops.clear()
-    worker.doubt_until_s = at.now_s + node.bounds.max_lease_s * (1 + _ownership.CLOCK_DRIFT)
+    worker.possible_runs_until_s = at.now_s + node.bounds.max_lease_s * (1 + _ownership.CLOCK_DRIFT)
     worker.entry = worker.entry._replace(incarnation=incarnation)
-    worker.is_held = worker.is_over = False
-    worker.clock_ms = worker.granted_ms = worker.handled = worker.acked = worker.told = 0
+    worker.is_held = worker.has_ended = False
+    worker.clock_ms = worker.granted_ms = worker.handled = worker.acked = worker.ack_confirmed = 0
     worker.next_hold_s = 0.0
     worker.lists_due_s = worker.answer_due_s = NEVER_S
-    worker.strays.clear()
+    worker.unknown_runs.clear()
     worker.rows.clear()
-    worker.paces.clear()
+    worker.throttles.clear()
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_book.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_replicated_state.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from .model import JobSpec, Room, Step, TaskKey
+from .model import JobSpec, Resources, Step, TaskKey
 
 WAITING = "waiting"
 RUNNING = "running"
@@ -23,7 +23,7 @@
 
     :param run: number of the newest run; 0 before the first.
     :param failures: runs that ended as failed.
-    :param saved: newest checkpoint, or empty.
+    :param checkpoint: newest checkpoint, or empty.
     """
 
     key: TaskKey
@@ -32,23 +32,23 @@
     worker: str = ""
     worker_incarnation: int = 0
     failures: int = 0
-    saved: str = ""
+    checkpoint: str = ""
 
 
 class StepState(msgspec.Struct, eq=False):
     """
     A step in one occurrence of a job.
 
-    :param left: tasks that are not done.
+    :param unfinished: tasks that are not done.
     :param waiting: tasks that have no run.
-    :param room: what each task takes up on a worker.
+    :param resources: what each task takes up on a worker.
     """
 
     step: Step
     tasks: list[Task]
-    left: int
+    unfinished: int
     waiting: int
-    room: Room
+    resources: Resources
 
 
 class Job(msgspec.Struct, eq=False):
@@ -56,10 +56,10 @@
     One job.
 
     :param state: state by all records, including those of the owner not yet in the log.
-    :param shown: state by the records of the log alone, which is what callers are told.
+    :param committed_state: state by the records of the log alone, which is what callers are told.
     :param seen_s: when this instance learnt of the job, by its own clock.
     :param open_occurrences: occurrences whose tasks are not all done.
-    :param chains_s: longest chain of work from each step on, once it was asked for.
+    :param critical_path_s: longest chain of work from each step on, once it was asked for.
     """
 
     id: str
@@ -70,19 +70,19 @@
     at_ms: int
     seen_s: float
     state: str = QUEUED
-    shown: str = QUEUED
+    committed_state: str = QUEUED
     cancelled: bool = False
     closed_s: float = 0.0
     occurrences: dict[int, list[StepState]] = {}
     open_occurrences: int = 1
-    chains_s: tuple[float, ...] = ()
+    critical_path_s: tuple[float, ...] = ()
 
     @property
-    def lasts(self) -> bool:
+    def is_long_running(self) -> bool:
         """
         Whether any of its tasks run until the job is cancelled.
         """
-        return any(step.lasts for step in self.spec.steps)
+        return any(step.is_long_running for step in self.spec.steps)
 
 
 class InstanceOrder(msgspec.Struct, eq=False):
@@ -102,7 +102,7 @@
     log_s: float = 0.0
 
 
-class Book(msgspec.Struct, eq=False):
+class ReplicatedState(msgspec.Struct, eq=False):
     """
     Everything that the log says.
 
@@ -119,7 +119,7 @@
     :param log_s: time that the log tells: the sum of what passed between beats of the same owner.
         No clock of day is in it, and it never runs ahead.
     :param log_read_s: when the newest beat was read, by this instance's clock.
-    :param beat: epoch and owner's clock of the newest beat.
+    :param newest_heartbeat: epoch and owner's clock of the newest beat.
     """
 
     offset: int = 0
@@ -129,8 +129,8 @@
     jobs: dict[str, Job] = {}
     open_jobs: dict[str, Job] = {}
     running: dict[str, dict[TaskKey, Task]] = {}
-    load: dict[str, Room] = {}
-    used: dict[str, Room] = {}
+    load: dict[str, Resources] = {}
+    used: dict[str, Resources] = {}
     early_cancels: dict[str, int] = {}
     orders: dict[str, InstanceOrder] = {}
     maintained: dict[int, set[str]] = {}
@@ -138,7 +138,7 @@
     pending: dict[str, int] = {}
     log_s: float = 0.0
     log_read_s: float = 0.0
-    beat: tuple[int, int] = (0, 0)
+    newest_heartbeat: tuple[int, int] = (0, 0)
 
 
 def occurrence_of(job: Job, number: int) -> list[StepState]:
@@ -157,22 +157,22 @@
                 [Task(TaskKey(job.id, number, at, index)) for index in range(step.count)],
                 step.count,
                 step.count,
-                step.room,
+                step.resources,
             )
             for at, step in enumerate(job.spec.steps)
         ]
     return steps
 
 
-def find_task(book: Book, key: TaskKey) -> Task | None:
+def find_task(replicated: ReplicatedState, key: TaskKey) -> Task | None:
     """
     Find a task.
 
-    :param book: the state.
+    :param replicated: the state.
     :param key: the task.
     :returns: it, or ``None`` when there is no such job or task.
     """
-    job = book.jobs.get(key.job)
+    job = replicated.jobs.get(key.job)
     if job is None or not 0 <= key.step < len(job.spec.steps):
         return None
     if not 0 <= key.occurrence < max(1, job.spec.repeats):
@@ -191,7 +191,7 @@
     :returns: whether its tasks may start.
     """
     steps = occurrence_of(job, number)
-    return all(steps[earlier].left == 0 for earlier in job.spec.steps[at].after)
+    return all(steps[earlier].unfinished == 0 for earlier in job.spec.steps[at].after)
 
 
 def max_attempts_reached(task: Task, step: Step, max_attempts: int) -> bool:
@@ -203,4 +203,4 @@
     :param max_attempts: bound of its queue.
     :returns: whether its job has failed.
     """
-    return not step.lasts and task.failures >= max_attempts
+    return not step.is_long_running and task.failures >= max_attempts
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_runs.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_runs.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Iterator
 
-from . import _book, _journal, effects
-from ._book import Job, Task
+from . import _journal, _replicated_state, effects
 from ._node import Moment, Node, Worker, emit, log_line
 from ._records import Closed, Ended
+from ._replicated_state import Job, Task
 from .model import TaskKey
 
 # A run that is known to run no more, without an end that a worker listed.
@@ -31,7 +31,7 @@
     :param worker_id: the worker.
     :returns: the tasks.
     """
-    return node.book.running.get(worker_id, {})
+    return node.replicated.running.get(worker_id, {})
 
 
 def end_run(node: Node, at: Moment, worker: Worker, task: Task, how: str, saved: str = "") -> None:
@@ -43,12 +43,12 @@
     :param worker: where it ran.
     :param task: its task.
     :param how: how it ended.
-    :param saved: its newest checkpoint, or empty.
+    :param checkpoint: its newest checkpoint, or empty.
     """
     key = task.key
     worker.orders.pop(key, None)
     worker.stops.pop(key, None)
-    worker.paces.pop(key, None)
+    worker.throttles.pop(key, None)
     started_s = worker.started_s.pop(key, None)
     node.plan_due = True
     record = Ended(node.ownership.epoch, *key, task.run, how, saved)
@@ -63,10 +63,10 @@
         how=how,
         ran_s=None if started_s is None else round(at.now_s - started_s, 3),
     )
-    job = node.book.jobs[key.job]
-    if how == _book.FAILED:
+    job = node.replicated.jobs[key.job]
+    if how == _replicated_state.FAILED:
         _blame(node, worker, key)
-    elif how == _book.DONE:
+    elif how == _replicated_state.DONE:
         worker.failed_jobs.clear()
     _close_if_over(node, at, job, task)
 
@@ -78,13 +78,13 @@
 
 
 def _close_if_over(node: Node, at: Moment, job: Job, task: Task) -> None:
-    if job.state in _book.FINAL_STATES:
+    if job.state in _replicated_state.FINAL_STATES:
         return
     step = job.spec.steps[task.key.step]
-    if _book.max_attempts_reached(task, step, max_attempts(node, job)):
-        close_job(node, at, job, _book.FAILED)
+    if _replicated_state.max_attempts_reached(task, step, max_attempts(node, job)):
+        close_job(node, at, job, _replicated_state.FAILED)
     elif job.open_occurrences == 0:
-        close_job(node, at, job, _book.COMPLETED)
+        close_job(node, at, job, _replicated_state.COMPLETED)
 
 
 def max_attempts(node: Node, job: Job) -> int:
@@ -123,7 +123,7 @@
     for task in tasks_of(job):
         node.avoid.pop(task.key, None)
         worker = node.workers.get(task.worker)
-        if task.status == _book.RUNNING and worker is not None:
+        if task.status == _replicated_state.RUNNING and worker is not None:
             order = worker.orders.get(task.key)
             if order is None or order.sent_s:
                 send_stop(node, at, worker, task.key, task.run)
@@ -153,7 +153,7 @@
     :param worker: the worker.
     :returns: the token.
     """
-    return node.ownership.epoch * TOKENS_PER_EPOCH + worker.raises
+    return node.ownership.epoch * TOKENS_PER_EPOCH + worker.token_raises
 
 
 def raise_token(worker: Worker) -> None:
@@ -162,7 +162,7 @@
 
     :param worker: the worker.
     """
-    worker.raises = min(worker.raises + 1, MAX_RAISES)
+    worker.token_raises = min(worker.token_raises + 1, MAX_RAISES)
 
 
 def epoch_of(token: int) -> int:
@@ -218,4 +218,4 @@
     :returns: the checkpoint, or empty.
     """
     row = worker.rows.get(task.key)
-    return row.saved if row is not None and row.run == task.run else ""
+    return row.checkpoint if row is not None and row.run == task.run else ""
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_sites.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_sites.py
@@ -5,11 +5,11 @@
 from collections import Counter
 from typing import NamedTuple
 
-from . import _book, _workers
-from ._book import StepState
+from . import _replicated_state, _workers
 from ._node import Moment, Node, Worker
+from ._replicated_state import StepState
 from ._runs import runs_on
-from .model import Room, Step
+from .model import Resources, Step
 
 # Jobs in a row that failed on a worker, after which it is tried with one task at a time.
 SUSPECT_FAILURES = 2
@@ -23,7 +23,7 @@
     """
 
     worker: Worker
-    free: list[Room]
+    free: list[Resources]
 
 
 def open_sites(node: Node, at: Moment, service: str) -> list[Site]:
@@ -67,8 +67,8 @@
         and worker.is_held
         and not worker.is_failing
         and not worker.entry.is_draining
-        and at.now_s >= worker.closed_until_s
-        and worker.entry.instance not in node.fleet.emptying
+        and at.now_s >= worker.no_starts_until_s
+        and worker.entry.instance not in node.fleet.draining
     )
 
 
@@ -90,7 +90,7 @@
     :param worker: the worker.
     :returns: whether it has runs.
     """
-    return bool(runs_on(node, worker.id)) or bool(worker.strays)
+    return bool(runs_on(node, worker.id)) or bool(worker.unknown_runs)
 
 
 def has_label(step: Step, worker: Worker) -> bool:
@@ -111,7 +111,7 @@
     :param state: the step.
     :returns: the counts.
     """
-    return Counter(task.worker for task in state.tasks if task.status == _book.RUNNING)
+    return Counter(task.worker for task in state.tasks if task.status == _replicated_state.RUNNING)
 
 
 def with_room(state: StepState, sites: list[Site]) -> list[str]:
@@ -125,7 +125,7 @@
     fitting = [
         site
         for site in sites
-        if state.room.fits(site.free[0]) and has_label(state.step, site.worker)
+        if state.resources.fits(site.free[0]) and has_label(state.step, site.worker)
     ]
     fitting.sort(key=lambda site: -site.free[0].millicores)
     return [site.worker.id for site in fitting]
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_snapshot.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_snapshot.py
@@ -9,16 +9,16 @@
 
 import msgspec
 
-from . import _book, _fold, _journal, effects, events
-from ._book import Book, InstanceOrder, Job
+from . import _fold, _journal, _replicated_state, effects, events
 from ._node import Moment, Node, emit, log_line
+from ._replicated_state import InstanceOrder, Job, ReplicatedState
 from .model import JobSpec
 
 # Records after which a snapshot is due. They are some 1.5 MB, which the narrowest links seen carry
 # in 2.5 s; folding them takes half a second.
-DUE_RECORDS = 20_000
+SNAPSHOT_INTERVAL_RECORDS = 20_000
 # Records that stay in front of a snapshot, for instances that are reading them.
-KEPT_RECORDS = 10_000
+RETAINED_RECORDS = 10_000
 # Between two tries, since a snapshot takes up the link of a small instance for a second.
 RETRY_S = 10.0
 
@@ -29,7 +29,7 @@
     worker: str
     worker_incarnation: int
     failures: int
-    saved: str
+    checkpoint: str
 
 
 class _JobRow(msgspec.Struct, array_like=True):
@@ -40,7 +40,7 @@
     spec: JobSpec
     at_ms: int
     state: str
-    shown: str
+    committed_state: str
     cancelled: bool
     closed_ms: int
     occurrences: dict[int, list[list[_TaskRow]]]
@@ -57,39 +57,39 @@
     maintained: dict[int, list[str]]
     closed_waves: list[int]
     log_s: float
-    beat: tuple[int, int]
+    newest_heartbeat: tuple[int, int]
 
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(_Snapshot)
 
 
-def encode(book: Book, now_s: float, wall_ms: int) -> bytes:
+def encode(replicated: ReplicatedState, now_s: float, wall_ms: int) -> bytes:
     """
     Encode a book.
 
-    :param book: the state.
+    :param replicated: the state.
     :param now_s: this instance's clock.
     :param wall_ms: Unix time.
     :returns: the bytes.
     """
     snapshot = _Snapshot(
-        book.offset,
-        book.epoch,
-        book.owner,
-        book.owner_address,
-        [_job_row(job, now_s, wall_ms) for job in book.jobs.values()],
-        book.early_cancels,
-        book.orders,
-        {wave: sorted(names) for wave, names in book.maintained.items()},
-        sorted(book.closed_waves),
-        book.log_s,
-        book.beat,
+        replicated.offset,
+        replicated.epoch,
+        replicated.owner,
+        replicated.owner_address,
+        [_job_row(job, now_s, wall_ms) for job in replicated.jobs.values()],
+        replicated.early_cancels,
+        replicated.orders,
+        {wave: sorted(names) for wave, names in replicated.maintained.items()},
+        sorted(replicated.closed_waves),
+        replicated.log_s,
+        replicated.newest_heartbeat,
     )
     return zlib.compress(_encoder.encode(snapshot), 1)
 
 
-def decode(data: bytes, now_s: float, wall_ms: int) -> Book | None:
+def decode(data: bytes, now_s: float, wall_ms: int) -> ReplicatedState | None:
     """
     Decode a book.
 
@@ -102,7 +102,7 @@
         snapshot = _decoder.decode(zlib.decompress(data))
     except (msgspec.MsgspecError, zlib.error):
         return None
-    book = Book(
+    replicated = ReplicatedState(
         offset=snapshot.offset,
         epoch=snapshot.epoch,
         owner=snapshot.owner,
@@ -116,11 +116,11 @@
         closed_waves=set(snapshot.closed_waves),
         log_s=snapshot.log_s,
         log_read_s=now_s,
-        beat=snapshot.beat,
+        newest_heartbeat=snapshot.newest_heartbeat,
     )
     for row in snapshot.jobs:
-        _restore_job(book, row, now_s, wall_ms)
-    return book
+        _restore_job(replicated, row, now_s, wall_ms)
+    return replicated
 
 
 def _job_row(job: Job, now_s: float, wall_ms: int) -> _JobRow:
@@ -133,7 +133,7 @@
                     task.worker,
                     task.worker_incarnation,
                     task.failures,
-                    task.saved,
+                    task.checkpoint,
                 )
                 for task in state.tasks
             ]
@@ -150,14 +150,14 @@
         job.spec,
         job.at_ms,
         job.state,
-        job.shown,
+        job.committed_state,
         job.cancelled,
         closed_ms,
         occurrences,
     )
 
 
-def _restore_job(book: Book, row: _JobRow, now_s: float, wall_ms: int) -> None:
+def _restore_job(replicated: ReplicatedState, row: _JobRow, now_s: float, wall_ms: int) -> None:
     job = Job(
         row.id,
         row.queue,
@@ -167,59 +167,63 @@
         row.at_ms,
         now_s - max(0.0, (wall_ms - row.at_ms) / 1000),
         row.state,
-        row.shown,
+        row.committed_state,
         row.cancelled,
         now_s - max(0.0, (wall_ms - row.closed_ms) / 1000) if row.closed_ms else 0.0,
         open_occurrences=max(1, row.spec.repeats),
     )
-    book.jobs[job.id] = job
-    if job.state not in _book.FINAL_STATES:
-        book.open_jobs[job.id] = job
-    if job.state == _book.QUEUED and not job.spec.repeats:
-        book.pending[job.queue] = book.pending.get(job.queue, 0) + 1
+    replicated.jobs[job.id] = job
+    if job.state not in _replicated_state.FINAL_STATES:
+        replicated.open_jobs[job.id] = job
+    if job.state == _replicated_state.QUEUED and not job.spec.repeats:
+        replicated.pending[job.queue] = replicated.pending.get(job.queue, 0) + 1
     for number, steps in row.occurrences.items():
-        states = _book.occurrence_of(job, number)
+        states = _replicated_state.occurrence_of(job, number)
         for state, rows in zip(states, steps, strict=True):
             for task, saved in zip(state.tasks, rows, strict=True):
-                _restore_task(book, job, state, task, saved)
-        if all(state.left == 0 for state in states):
+                _restore_task(replicated, job, state, task, saved)
+        if all(state.unfinished == 0 for state in states):
             job.open_occurrences -= 1
 
 
 def _restore_task(
-    book: Book, job: Job, state: _book.StepState, task: _book.Task, row: _TaskRow
+    replicated: ReplicatedState,
+    job: Job,
+    state: _replicated_state.StepState,
+    task: _replicated_state.Task,
+    row: _TaskRow,
 ) -> None:
     task.status = row.status
     task.run = row.run
     task.worker = row.worker
     task.worker_incarnation = row.worker_incarnation
     task.failures = row.failures
-    task.saved = row.saved
-    if task.status != _book.WAITING:
+    task.checkpoint = row.checkpoint
+    if task.status != _replicated_state.WAITING:
         state.waiting -= 1
-    if task.status == _book.DONE:
-        state.left -= 1
-    if task.status == _book.RUNNING:
-        book.running.setdefault(task.worker, {})[task.key] = task
-        _fold.add_run(book, job, task)
+    if task.status == _replicated_state.DONE:
+        state.unfinished -= 1
+    if task.status == _replicated_state.RUNNING:
+        replicated.running.setdefault(task.worker, {})[task.key] = task
+        _fold.add_run(replicated, job, task)
 
 
-def consider(node: Node, at: Moment) -> None:
+def write_if_due(node: Node, at: Moment) -> None:
     """
     Store a snapshot if one is due.
 
     :param node: the instance, which owns the log.
     :param at: the time.
     """
-    is_due = node.book.offset - node.snapshot_offset >= DUE_RECORDS
+    is_due = node.replicated.offset - node.snapshot_offset >= SNAPSHOT_INTERVAL_RECORDS
     if not is_due or node.is_snapshotting or at.now_s < node.snapshot_s:
         return
     # Records that are decided but not appended must not be in it.
     if not _journal.is_idle(node) or not node.tail.is_caught_up:
         return
     node.is_snapshotting = True
-    data = encode(node.book, at.now_s, at.wall_ms)
-    emit(node, effects.WriteSnapshot(node.book.offset, data))
+    data = encode(node.replicated, at.now_s, at.wall_ms)
+    emit(node, effects.WriteSnapshot(node.replicated.offset, data))
 
 
 def on_written(node: Node, at: Moment, event: events.SnapshotWritten) -> None:
@@ -237,6 +241,6 @@
         return
     node.snapshot_offset = event.offset
     log_line(node, "snapshot.stored", offset=event.offset)
-    before = event.offset - KEPT_RECORDS
+    before = event.offset - RETAINED_RECORDS
     if node.ownership.is_owner and before > 0:
         emit(node, effects.TrimLog(before))
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_tail.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_tail.py
@@ -2,7 +2,7 @@
 Reads the log and keeps the book.
 """
 
-from . import _book, _fold, _instances, _intake, _ownership, _snapshot, effects, events
+from . import _fold, _instances, _intake, _ownership, _replicated_state, _snapshot, effects, events
 from ._node import CallerRecords, Moment, Node, Tail, emit, log_line
 from ._records import OWNER_RECORDS, Cancelled, Claimed, OwnerRecord, Submitted, decode_record
 
@@ -13,7 +13,7 @@
 # A read that failed is tried again after this.
 RETRY_S = 0.1
 # What is left of a former measure at each read: a tenth after two seconds of a reader's reads.
-FADE = 0.85
+DECAY_FACTOR = 0.85
 
 
 def read(node: Node, at: Moment) -> None:
@@ -31,7 +31,7 @@
         emit(node, effects.ReadSnapshot())
     else:
         tail.wait_s = WAIT_S if tail.is_caught_up else 0.0
-        emit(node, effects.ReadLog(node.book.offset, tail.wait_s))
+        emit(node, effects.ReadLog(node.replicated.offset, tail.wait_s))
 
 
 def on_read(node: Node, at: Moment, event: events.LogRead) -> None:
@@ -44,24 +44,26 @@
     """
     tail = node.tail
     tail.is_reading = False
-    if tail.needs_snapshot or event.offset != node.book.offset:
+    if tail.needs_snapshot or event.offset != node.replicated.offset:
         return
-    if tail.steady_s > at.now_s:
-        tail.steady_s = at.now_s
+    if tail.readable_since_s > at.now_s:
+        tail.readable_since_s = at.now_s
         log_line(node, "store.log_readable", offset=event.offset, end=event.end)
-    tail.ok_s = event.sent_s
+    tail.last_success_s = event.sent_s
     tail.answered_s = at.now_s
-    former_s = tail.owner_s
+    former_owner_record_s = tail.owner_record_s
     for data in event.records:
         _fold_one(node, at, data)
-        node.book.offset += 1
-    _measure(tail, at.now_s, event, former_s)
+        node.replicated.offset += 1
+    _update_delays(tail, at.now_s, event, former_owner_record_s)
     was_caught_up = tail.is_caught_up
-    tail.is_caught_up = node.book.offset >= event.end
-    tail.is_read = tail.is_read or tail.is_caught_up
+    tail.is_caught_up = node.replicated.offset >= event.end
+    tail.has_caught_up = tail.has_caught_up or tail.is_caught_up
     if tail.is_caught_up and not was_caught_up:
-        log_line(node, "log.caught_up", offset=node.book.offset, jobs=len(node.book.jobs))
-        tail.owner_s = max(tail.owner_s, at.now_s)
+        log_line(
+            node, "log.caught_up", offset=node.replicated.offset, jobs=len(node.replicated.jobs)
+        )
+        tail.owner_record_s = max(tail.owner_record_s, at.now_s)
     if tail.is_caught_up and not node.ownership.is_owner:
         tail.next_read_s = at.now_s + READER_INTERVAL_S
     if event.records:
@@ -70,16 +72,20 @@
         reload(node, at, "another_instance_claimed")
 
 
-def _measure(tail: Tail, now_s: float, event: events.LogRead, former_s: float) -> None:
+def _update_delays(
+    tail: Tail, now_s: float, event: events.LogRead, former_owner_record_s: float
+) -> None:
     """
     Note how regular the owner's records come, and how fast the store answers: both tell how long a
     silence has to be to mean something.
     """
-    if tail.is_caught_up and tail.owner_s > former_s:
-        tail.gap_s = max(tail.owner_s - former_s, tail.gap_s * FADE)
+    if tail.is_caught_up and tail.owner_record_s > former_owner_record_s:
+        tail.owner_gap_s = max(
+            tail.owner_record_s - former_owner_record_s, tail.owner_gap_s * DECAY_FACTOR
+        )
     if not event.records:
         delay_s = max(0.0, now_s - event.sent_s - tail.wait_s)
-        tail.delay_s = max(delay_s, tail.delay_s * FADE)
+        tail.store_delay_s = max(delay_s, tail.store_delay_s * DECAY_FACTOR)
 
 
 def on_gap(node: Node, at: Moment, event: events.LogGap) -> None:
@@ -93,9 +99,9 @@
     node.tail.is_reading = False
     if node.tail.needs_snapshot:
         return
-    if node.book.offset == 0 and not node.book.jobs:
+    if node.replicated.offset == 0 and not node.replicated.jobs:
         # Nothing is known yet: whatever is left of the log is all that there is.
-        node.book.offset = event.first
+        node.replicated.offset = event.first
         log_line(node, "log.starts_late", first=event.first)
         return
     reload(node, at, "log_was_trimmed")
@@ -112,9 +118,9 @@
     tail = node.tail
     tail.is_reading = False
     tail.next_read_s = at.now_s + RETRY_S
-    if tail.steady_s <= at.now_s:
-        log_line(node, "store.log_unreadable", reason=event.reason, offset=node.book.offset)
-    tail.steady_s = 1e18
+    if tail.readable_since_s <= at.now_s:
+        log_line(node, "store.log_unreadable", reason=event.reason, offset=node.replicated.offset)
+    tail.readable_since_s = 1e18
 
 
 def reload(node: Node, at: Moment, reason: str) -> None:
@@ -125,10 +131,10 @@
     :param at: the time.
     :param reason: why, for the log.
     """
-    log_line(node, "log.reload", reason=reason, offset=node.book.offset)
+    log_line(node, "log.reload", reason=reason, offset=node.replicated.offset)
     node.ownership.reload_wanted = False
-    node.book = _book.Book()
-    node.tail = Tail(owner_s=at.now_s)
+    node.replicated = _replicated_state.ReplicatedState()
+    node.tail = Tail(owner_record_s=at.now_s)
 
 
 def on_snapshot(node: Node, at: Moment, event: events.SnapshotRead) -> None:
@@ -145,15 +151,15 @@
     node.tail.needs_snapshot = False
     if event.data is None:
         return
-    book = _snapshot.decode(event.data, at.now_s, at.wall_ms)
-    if book is None:
+    replicated = _snapshot.decode(event.data, at.now_s, at.wall_ms)
+    if replicated is None:
         log_line(node, "snapshot.unreadable", size_bytes=len(event.data))
         return
-    node.book = book
-    log_line(node, "snapshot.installed", offset=book.offset, jobs=len(book.jobs))
+    node.replicated = replicated
+    log_line(node, "snapshot.installed", offset=replicated.offset, jobs=len(replicated.jobs))
 
 
-def fold_callers(node: Node, at: Moment, callers: list[CallerRecords]) -> None:
+def fold_callers_records(node: Node, at: Moment, callers: list[CallerRecords]) -> None:
     """
     Fold records of callers that this instance has just appended, before it reads them.
 
@@ -165,12 +171,12 @@
         for data in item.records:
             record = decode_record(data)
             if isinstance(record, Submitted | Cancelled):
-                _fold_caller_record(node, at, record)
+                _fold_callers_record(node, at, record)
     node.plan_due = True
 
 
-def _fold_caller_record(node: Node, at: Moment, record: Submitted | Cancelled) -> None:
-    _fold.apply(node.book, record, at.now_s, at.wall_ms)
+def _fold_callers_record(node: Node, at: Moment, record: Submitted | Cancelled) -> None:
+    _fold.apply(node.replicated, record, at.now_s, at.wall_ms)
     if isinstance(record, Submitted):
         node.intake.accepted.pop(record.job, None)
     else:
@@ -180,11 +186,11 @@
 def _fold_one(node: Node, at: Moment, data: bytes) -> None:
     record = decode_record(data)
     if record is None:
-        log_line(node, "log.unreadable_record", offset=node.book.offset, size_bytes=len(data))
+        log_line(node, "log.unreadable_record", offset=node.replicated.offset, size_bytes=len(data))
         return
     if isinstance(record, Claimed):
-        _fold.apply(node.book, record, at.now_s, at.wall_ms)
-        node.tail.owner_s = at.now_s
+        _fold.apply(node.replicated, record, at.now_s, at.wall_ms)
+        node.tail.owner_record_s = at.now_s
         if _ownership.on_claimed(node, at, record):
             _instances.take_over(node, at)
         _intake.on_owner_changed(node)
@@ -192,16 +198,16 @@
     if isinstance(record, OWNER_RECORDS):
         _fold_owner_record(node, at, record)
         return
-    _fold_caller_record(node, at, record)
+    _fold_callers_record(node, at, record)
 
 
 def _fold_owner_record(node: Node, at: Moment, record: OwnerRecord) -> None:
-    if record.epoch != node.book.epoch:
+    if record.epoch != node.replicated.epoch:
         return
-    node.tail.owner_s = at.now_s
+    node.tail.owner_record_s = at.now_s
     if node.ownership.is_owner and record.epoch == node.ownership.epoch:
         # Applied when it was decided; its answer may have been lost.
-        _fold.confirm(node.book, record)
+        _fold.confirm(node.replicated, record)
         return
-    _fold.apply(node.book, record, at.now_s, at.wall_ms)
-    _fold.confirm(node.book, record)
+    _fold.apply(node.replicated, record, at.now_s, at.wall_ms)
+    _fold.confirm(node.replicated, record)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_waves.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_waves.py
@@ -8,7 +8,7 @@
 from ._journal import write
 from ._node import Moment, Node, WaveState, emit, log_line
 from ._records import WaveClosed
-from .model import InstanceRow, Room
+from .model import InstanceRow, Resources
 
 # Load of a pool above which its instances wait for their turn, while the wave has time.
 BUSY_POOL = 0.6
@@ -28,12 +28,12 @@
     for number in sorted(node.waves):
         state = node.waves[number]
         _publish(node, at, state)
-        if number not in node.book.closed_waves:
+        if number not in node.replicated.closed_waves:
             _advance_wave(node, at, state)
 
 
 def _publish(node: Node, at: Moment, state: WaveState) -> None:
-    is_closed = state.wave.number in node.book.closed_waves
+    is_closed = state.wave.number in node.replicated.closed_waves
     wanted = "completed" if is_closed else "running"
     if state.published == wanted or at.now_s < state.asked_s:
         return
@@ -61,7 +61,7 @@
     """
     Give the instances of a wave that are still there and not maintained yet.
     """
-    done = node.book.maintained.get(state.wave.number, set())
+    done = node.replicated.maintained.get(state.wave.number, set())
     rows = (node.fleet.rows.get(name) for name in state.wave.instances if name not in done)
     return [row for row in rows if row is not None]
 
@@ -82,15 +82,15 @@
                 took_s=round(at.now_s - state.seen_s, 2),
             )
         return
-    in_work = sum(name in fleet.emptying or name in fleet.down for name in wave.instances)
+    in_work = sum(name in fleet.draining or name in fleet.down for name in wave.instances)
     for row in sorted(left, key=lambda row: _busyness(node, row)):
         if in_work >= wave.max_down:
             return
-        if row.instance in fleet.emptying or row.state != UP:
+        if row.instance in fleet.draining or row.state != UP:
             continue
         if not _may_empty(node, at, state, row, len(left)):
             continue
-        fleet.emptying[row.instance] = MAINTENANCE
+        fleet.draining[row.instance] = MAINTENANCE
         fleet.wave_of[row.instance] = wave.number
         in_work += 1
         log_line(
@@ -122,7 +122,7 @@
     for worker in node.workers.values():
         if worker.entry.service == pool and worker.is_listed:
             have += worker.entry.capacity.millicores
-            need += node.book.load.get(worker.id, Room()).millicores
+            need += node.replicated.load.get(worker.id, Resources()).millicores
     return need / have if have else 1.0
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_workers.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_workers.py
@@ -8,11 +8,11 @@
 
 from collections import Counter
 
-from . import _book, _journal, _leases, _ownership, _registry, effects, events
-from ._book import Task, find_task
+from . import _journal, _leases, _ownership, _registry, _replicated_state, effects, events
 from ._node import NEVER_S, Moment, Node, Worker, emit, log_line
+from ._replicated_state import Task, find_task
 from ._runs import LOST, end_run, epoch_of, raise_token, runs_on, send_stop, token_of
-from .model import NO_ROOM, EndRow, Room, RunRow, TaskKey
+from .model import NO_RESOURCES, EndRow, Resources, RunRow, TaskKey
 
 # How long a worker waits for an end before it answers; a third of the shortest usual lease.
 HOLD_WAIT_S = 1.5
@@ -37,7 +37,7 @@
 MAX_FAILING_HOLDS = 4
 
 
-def free_room(node: Node, worker: Worker) -> Room:
+def free_room(node: Node, worker: Worker) -> Resources:
     """
     Give what a worker has left.
 
@@ -45,9 +45,9 @@
     :param worker: the worker.
     :returns: its capacity less all that may run there.
     """
-    free = worker.entry.capacity.minus(node.book.load.get(worker.id, NO_ROOM))
-    for room in worker.strays.values():
-        free = free.minus(room)
+    free = worker.entry.capacity.minus(node.replicated.load.get(worker.id, NO_RESOURCES))
+    for resources in worker.unknown_runs.values():
+        free = free.minus(resources)
     return free
 
 
@@ -85,8 +85,10 @@
 def _is_watched(node: Node, worker: Worker) -> bool:
     if worker.pace is not None:
         return True
-    jobs = node.book.jobs
-    return any(not jobs[key.job].spec.steps[key.step].lasts for key in runs_on(node, worker.id))
+    jobs = node.replicated.jobs
+    return any(
+        not jobs[key.job].spec.steps[key.step].is_long_running for key in runs_on(node, worker.id)
+    )
 
 
 def look(node: Node, at: Moment, worker: Worker) -> None:
@@ -106,7 +108,7 @@
     worker.holds += 1
     address, token = worker.entry.address, token_of(node, worker)
     # Told once only: a worker that has restarted unnoticed numbers its ends anew.
-    acked = worker.acked if worker.acked > worker.told else 0
+    acked = worker.acked if worker.acked > worker.ack_confirmed else 0
     emit(node, effects.Hold(worker.id, address, token, acked, lease_ms, wait_s))
 
 
@@ -176,7 +178,7 @@
     _count_answer(worker, at)
     if event.incarnation and event.incarnation != worker.entry.incarnation:
         if event.incarnation > worker.entry.incarnation:
-            _registry.restarted(node, at, worker, event.incarnation)
+            _registry.reset_incarnation(node, at, worker, event.incarnation)
         return None
     if event.token != token_of(node, worker):
         # Orders to the worker's former life could still be carried out.
@@ -228,7 +230,7 @@
 
 def _take_ends(node: Node, at: Moment, worker: Worker, ends: tuple[EndRow, ...]) -> None:
     if all(end.number > worker.acked for end in ends):
-        worker.told = worker.acked
+        worker.ack_confirmed = worker.acked
     newest = worker.handled
     for end in ends:
         if end.number <= worker.handled:
@@ -242,15 +244,19 @@
 
 
 def _take_end(node: Node, at: Moment, worker: Worker, end: EndRow) -> None:
-    worker.strays.pop(end.key, None)
-    task = find_task(node.book, end.key)
+    worker.unknown_runs.pop(end.key, None)
+    task = find_task(node.replicated, end.key)
     if task is None:
-        log_line(node, "run.unknown_end", worker=worker.id, job=end.key.job, how=end.how)
+        log_line(node, "run.unknown_end", worker=worker.id, job=end.key.job, how=end.end_state)
         return
-    if task.status == _book.RUNNING and task.run == end.run and task.worker == worker.id:
-        end_run(node, at, worker, task, end.how, end.saved)
+    if (
+        task.status == _replicated_state.RUNNING
+        and task.run == end.run
+        and task.worker == worker.id
+    ):
+        end_run(node, at, worker, task, end.end_state, end.checkpoint)
         return
-    if task.status == _book.DONE or task.run > end.run:
+    if task.status == _replicated_state.DONE or task.run > end.run:
         return
     log_line(
         node,
@@ -259,19 +265,23 @@
         job=end.key.job,
         task=".".join(map(str, end.key[1:])),
         run=end.run,
-        how=end.how,
+        how=end.end_state,
     )
-    if task.status == _book.WAITING and task.run == end.run and end.how == _book.DONE:
+    if (
+        task.status == _replicated_state.WAITING
+        and task.run == end.run
+        and end.end_state == _replicated_state.DONE
+    ):
         # The run that was given up has ended well after all.
-        end_run(node, at, worker, task, end.how, end.saved)
+        end_run(node, at, worker, task, end.end_state, end.checkpoint)
 
 
 def _compare(node: Node, at: Moment, worker: Worker, event: events.HoldAnswered) -> None:
     for key, row in worker.rows.items():
         _compare_row(node, at, worker, key, row)
-    for key in list(worker.strays):
+    for key in list(worker.unknown_runs):
         if key not in worker.rows:
-            del worker.strays[key]
+            del worker.unknown_runs[key]
             node.plan_due = True
     for task in list(runs_on(node, worker.id).values()):
         if task.key not in worker.rows:
@@ -279,27 +289,27 @@
 
 
 def _compare_row(node: Node, at: Moment, worker: Worker, key: TaskKey, row: RunRow) -> None:
-    task = find_task(node.book, key)
+    task = find_task(node.replicated, key)
     is_ours = (
         task is not None
-        and task.status == _book.RUNNING
+        and task.status == _replicated_state.RUNNING
         and task.worker == worker.id
         and task.run == row.run
     )
     if is_ours:
-        job = node.book.jobs[key.job]
+        job = node.replicated.jobs[key.job]
         order = worker.orders.get(key)
         if order is not None and not order.answered_s:
             order.answered_s = at.now_s
         if worker.started_s.setdefault(key, at.now_s) == at.now_s:
             node.plan_due = True
-        if job.cancelled or job.state in _book.FINAL_STATES or key in worker.stops:
+        if job.cancelled or job.state in _replicated_state.FINAL_STATES or key in worker.stops:
             send_stop(node, at, worker, key, row.run)
         return
-    step_room = NO_ROOM
+    step_room = NO_RESOURCES
     if task is not None:
-        step_room = node.book.jobs[key.job].spec.steps[key.step].room
-    worker.strays[key] = step_room
+        step_room = node.replicated.jobs[key.job].spec.steps[key.step].resources
+    worker.unknown_runs[key] = step_room
     log_line(
         node,
         "run.stray",
@@ -388,4 +398,4 @@
         )
     if event.reason == "other_worker":
         # Its address belongs to another worker now, so it is gone.
-        _registry.end_life(node, at, worker, "address_reused")
+        _registry.end_incarnation(node, at, worker, "address_reused")
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/effects.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/effects.py
@@ -166,7 +166,7 @@
     payload: str
     lease_ms: int
     token: int
-    saved: str
+    checkpoint: str
     ticket: str
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/model.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/model.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class Room(NamedTuple):
+class Resources(NamedTuple):
     """
     Resources of a worker, or those that a task needs.
 
@@ -20,25 +20,25 @@
     memory_mb: int = 0
     accelerators: int = 0
 
-    def plus(self, other: "Room") -> "Room":
+    def plus(self, other: "Resources") -> "Resources":
         """
         Add.
 
         :param other: another room.
         :returns: the sum.
         """
-        return Room(self[0] + other[0], self[1] + other[1], self[2] + other[2])
+        return Resources(self[0] + other[0], self[1] + other[1], self[2] + other[2])
 
-    def minus(self, other: "Room") -> "Room":
+    def minus(self, other: "Resources") -> "Resources":
         """
         Subtract.
 
         :param other: another room.
         :returns: the difference, which may be negative.
         """
-        return Room(self[0] - other[0], self[1] - other[1], self[2] - other[2])
+        return Resources(self[0] - other[0], self[1] - other[1], self[2] - other[2])
 
-    def fits(self, free: "Room") -> bool:
+    def fits(self, free: "Resources") -> bool:
         """
         Tell whether this is no more than what is free.
 
@@ -48,7 +48,7 @@
         return self[0] <= free[0] and self[1] <= free[1] and self[2] <= free[2]
 
 
-NO_ROOM = Room()
+NO_RESOURCES = Resources()
 
 
 class Step(msgspec.Struct, frozen=True, array_like=True):
@@ -60,7 +60,7 @@
     :param label: label that a worker must have, or empty.
     :param data_rack: rack where the data lies, or empty.
     :param max_per_worker: most tasks of an occurrence on one worker; 0 for no bound.
-    :param lasts: the tasks run until the job is cancelled.
+    :param is_long_running: the tasks run until the job is cancelled.
     :param is_backfill: the tasks use processor time that others leave unused.
     :param target_ms: bound on the response time of tasks that serve; 0 for none.
     :param max_unavailable: tasks that planned work may take away at the same time.
@@ -77,20 +77,20 @@
     data_rack: str = ""
     max_per_worker: int = 0
     speculative: bool = False
-    lasts: bool = False
-    saves: bool = False
+    is_long_running: bool = False
+    is_checkpointing: bool = False
     is_backfill: bool = False
     target_ms: int = 0
     max_unavailable: int = 0
     image: str = ""
 
     @property
-    def room(self) -> Room:
+    def resources(self) -> Resources:
         """
         What a task takes up on a worker; backfill takes no processor room.
         """
         millicores, memory_mb, accelerators = self.need
-        return Room(0 if self.is_backfill else millicores, memory_mb, accelerators)
+        return Resources(0 if self.is_backfill else millicores, memory_mb, accelerators)
 
 
 class JobSpec(msgspec.Struct, frozen=True, array_like=True):
@@ -160,19 +160,19 @@
     name: str
     keys: frozenset[str]
     weight: float
-    limit: Room
+    limit: Resources
 
 
 class Service(NamedTuple):
     """
     A pool of workers.
 
-    :param guards_room: its workers reject what does not fit.
+    :param rejects_overload: its workers reject what does not fit.
     :param is_standby: its instances are off.
     """
 
     name: str
-    guards_room: bool
+    rejects_overload: bool
     is_standby: bool
 
 
@@ -223,7 +223,7 @@
     instance: str
     rack: str
     labels: frozenset[str]
-    capacity: Room
+    capacity: Resources
     is_draining: bool
     clock_ms: int
     remaining_ms: int = 0
@@ -239,7 +239,7 @@
 
     key: TaskKey
     run: int
-    saved: str
+    checkpoint: str
     percent: int
     usage: float
 
@@ -249,15 +249,15 @@
     An end that a worker lists.
 
     :param number: its number in this incarnation of the worker.
-    :param how: how it ended, such as ``done`` or ``failed``.
-    :param saved: its last checkpoint, or empty.
+    :param end_state: how it ended, such as ``done`` or ``failed``.
+    :param checkpoint: its last checkpoint, or empty.
     """
 
     number: int
     key: TaskKey
     run: int
-    how: str
-    saved: str
+    end_state: str
+    checkpoint: str
 
 
 class InstanceRow(NamedTuple):
@@ -273,7 +273,7 @@
     state: str
     zone: str
     rack: str
-    capacity: Room
+    capacity: Resources
     worker: str
 
 
--- a/packages/eelgrassdrum-core/tests/test_jobs_forwarding.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_forwarding.py
@@ -124,7 +124,7 @@
     assert submission()[0] in append.records
     produced = feed(owner, now_s + 0.01, events.Appended("owner", append.seq, events.OK))
     assert of_type(produced, effects.AnswerPeer) == [effects.AnswerPeer(5, events.OK)]
-    assert "job" in owner.book.jobs
+    assert "job" in owner.replicated.jobs
 
 
 def test_records_for_a_former_owner_are_refused(owner):
--- a/packages/eelgrassdrum-core/tests/test_jobs_instances.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_instances.py
@@ -5,10 +5,10 @@
 from eelgrassdrum_core.jobs import Identity, events, model, new_node
 from eelgrassdrum_core.jobs import _instances as instances
 from eelgrassdrum_core.jobs._records import (
-    Beat,
     Claimed,
     InstanceDone,
     InstanceOrdered,
+    OwnerHeartbeat,
     encode_records,
 )
 from eelgrassdrum_testing.jobs.owner import (
@@ -49,13 +49,13 @@
     """
     return [
         Claimed(1, "former", 1),
-        Beat(1, 50_000),
+        OwnerHeartbeat(1, 50_000),
         InstanceOrdered(1, "early", -1, "service", at_ms),
         InstanceDone(1, "early", -1),
-        Beat(1, 60_000),
+        OwnerHeartbeat(1, 60_000),
         InstanceOrdered(1, "late", -1, "service", at_ms),
         InstanceDone(1, "late", -1),
-        Beat(1, 60_300),
+        OwnerHeartbeat(1, 60_300),
     ]
 
 
@@ -89,12 +89,12 @@
     """
     The clocks of two owners have nothing to do with one another, so time passes only within one.
     """
-    records = [*log_of_orders(WALL_MS), Claimed(2, "other", 1), Beat(2, 900_000)]
+    records = [*log_of_orders(WALL_MS), Claimed(2, "other", 1), OwnerHeartbeat(2, 900_000)]
     node = new_node(Identity("entry", WALL_MS, "zone"), BOUNDS)
     feed(node, START_S, events.SnapshotRead(None))
     data = tuple(encode_records(records))
     feed(node, START_S, events.LogRead(0, data, len(data), START_S))
-    assert node.book.log_s == 10.3
+    assert node.replicated.log_s == 10.3
 
 
 def test_a_wave_goes_on_when_an_instance_leaves_while_it_is_emptied():
@@ -108,7 +108,7 @@
     def listed(at_s, names):
         rows = tuple(
             model.InstanceRow(
-                f"m-{name}", "service", "up", "z", "r1", model.Room(4000, 64_000, 0), name
+                f"m-{name}", "service", "up", "z", "r1", model.Resources(4000, 64_000, 0), name
             )
             for name in names
         )
@@ -116,6 +116,6 @@
         feed(node, at_s, events.Ticked())
 
     listed(LISTED_S, ("a", "b"))
-    assert set(node.fleet.emptying) == {"m-a"}
+    assert set(node.fleet.draining) == {"m-a"}
     listed(LISTED_S + 1, ("b",))
-    assert set(node.fleet.emptying) == {"m-b"}
+    assert set(node.fleet.draining) == {"m-b"}
--- a/packages/eelgrassdrum-core/tests/test_jobs_intake.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_intake.py
@@ -23,7 +23,7 @@
         version,
         {item.name: item for item in queues},
         {},
-        {"a": model.Workspace("a", frozenset(keys), 1.0, model.NO_ROOM)},
+        {"a": model.Workspace("a", frozenset(keys), 1.0, model.NO_RESOURCES)},
         dict.fromkeys(keys, "a"),
         1000,
     )
@@ -137,7 +137,7 @@
     """
     times = []
     for now_s in (1.0, 3.0, 20.0):
-        node.operator.ok_s = now_s
+        node.operator.last_success_s = now_s
         feed(node, now_s, call(events.SUBMIT, f"/q/j{now_s}", token=round(now_s)))
         seq = node.intake.seq
         event = events.Appended("intake", seq, events.REFUSED)
@@ -166,7 +166,7 @@
         Submitted("job1", "q", "service", "a", SPEC, WALL_MS),
     ]
     feed(node, 0.1, events.LogRead(0, tuple(encode_records(records)), 2, 0.1))
-    assert node.book.jobs["job1"].cancelled
+    assert node.replicated.jobs["job1"].cancelled
 
 
 def test_a_cancel_of_no_job_is_answered_once_the_log_was_read(node):
@@ -184,7 +184,7 @@
     """
     An instance that has not read the log lately does not say that a job does not exist.
     """
-    node.operator.ok_s = 4.0
+    node.operator.last_success_s = 4.0
     assert replies(feed(node, 4.0, call(events.LOOK_UP))) == [effects.UNAVAILABLE]
     feed(node, 4.0, events.LogRead(0, (), 0, 4.0))
     assert replies(feed(node, 4.1, call(events.LOOK_UP))) == [effects.NO_SUCH_JOB]
--- a/packages/eelgrassdrum-core/tests/test_jobs_orders.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_orders.py
@@ -65,7 +65,7 @@
     row = model.RunRow(order.key, order.run, "", 10, 0.0)
     produced = feed(node, GIVEN_UP_S + 0.01, lists(GIVEN_UP_S, (row,)))
     assert of_type(produced, effects.StopTask) == []
-    assert order.key in node.book.running["w"]
+    assert order.key in node.replicated.running["w"]
 
 
 def test_a_run_is_barred_before_its_task_starts_anew(unanswered):
--- a/packages/eelgrassdrum-core/tests/test_jobs_ownership.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_ownership.py
@@ -3,8 +3,8 @@
 """
 
 from eelgrassdrum_core.jobs import Identity, Moment, effects, events, model, new_node, reduce
-from eelgrassdrum_core.jobs._ownership import SPREAD_S, spread_s
-from eelgrassdrum_core.jobs._records import Beat, Claimed, Released, encode_records
+from eelgrassdrum_core.jobs._ownership import CLAIM_JITTER_S, claim_delay_s
+from eelgrassdrum_core.jobs._records import Claimed, OwnerHeartbeat, Released, encode_records
 
 BOUNDS = model.Bounds(10.0, 2.0, 5.0, 6.0, 0.4, 3.0, 0.25, 120.0, 1.5, 2.0)
 CONFIG = model.Config(1, {}, {}, {}, {}, 1000)
@@ -36,7 +36,7 @@
     """
     Let an instance read records at the end of the log.
     """
-    offset = node.book.offset
+    offset = node.replicated.offset
     data = tuple(encode_records(records))
     return feed(node, now_s, events.LogRead(offset, data, offset + len(data), now_s))
 
@@ -85,7 +85,7 @@
     feed(node, 0.3, events.LogReadFailed("timeout"))
     read(node, 5.0, [])
     assert claims(feed(node, 5.0, events.Ticked())) == []
-    read(node, 5.2, [Beat(1)])
+    read(node, 5.2, [OwnerHeartbeat(1)])
     read(node, 5.5, [])
     assert claims(feed(node, 5.5, events.Ticked())) == []
 
@@ -111,7 +111,7 @@
     feed(node, 1.6, events.Appended(append.channel, append.seq, events.FENCED))
     assert not node.ownership.is_owner
     feed(node, 1.7, events.Ticked())
-    assert node.book.offset == 0
+    assert node.replicated.offset == 0
 
 
 def test_a_claim_of_another_ends_an_ownership(node):
@@ -128,7 +128,7 @@
     The first claim of an epoch holds.
     """
     read(node, 0.1, [Claimed(1, "first", 5), Claimed(1, "second", 6)])
-    assert node.book.owner == ("first", 5)
+    assert node.replicated.owner == ("first", 5)
 
 
 def test_an_append_without_an_answer_is_sent_again_under_its_number(node):
@@ -152,9 +152,11 @@
     """
 
     old, young = make_node("a"), make_node("b")
-    old.began_s, young.began_s = -1000.0, 0.0
+    old.process_start_s, young.process_start_s = -1000.0, 0.0
     at = Moment(0.5, WALL_MS)
-    assert spread_s(young, at) <= SPREAD_S + 0.01 < spread_s(old, at) + SPREAD_S
+    assert (
+        claim_delay_s(young, at) <= CLAIM_JITTER_S + 0.01 < claim_delay_s(old, at) + CLAIM_JITTER_S
+    )
 
 
 def test_an_instance_with_a_narrow_link_claims_last():
@@ -164,4 +166,4 @@
     weak, strong = make_node("a"), make_node("b")
     weak.identity = weak.identity._replace(weakness=0.75)
     at = Moment(0.5, WALL_MS)
-    assert spread_s(strong, at) < spread_s(weak, at)
+    assert claim_delay_s(strong, at) < claim_delay_s(weak, at)
--- a/packages/eelgrassdrum-core/tests/test_jobs_planner.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_planner.py
@@ -39,7 +39,7 @@
     Tasks that last take room before any other.
     """
     node = owner_of([worker_entry("w", 1000)])
-    lasting = one_step(lasts=True)
+    lasting = one_step(is_long_running=True)
     jobs = [("batch", "urgent", (one_step(),), 5.0), ("lasting", "usual", (lasting,), 0.0)]
     assert hand_in(node, jobs) == [("lasting", "w")]
 
@@ -82,7 +82,7 @@
     """
     Burst of one workspace: it has no more running than its limit, whatever is free.
     """
-    config = make_owner_config(limit=model.Room(2500, 0, 0))
+    config = make_owner_config(limit=model.Resources(2500, 0, 0))
     node = owner_of([worker_entry("w", 8000)], config)
     assert len(hand_in(node, [("job", "usual", (one_step(5),), 0.0)])) == 2
 
@@ -137,6 +137,6 @@
     answer = events.AdviceAnswered("job", 0, 0, ("w1",), {"w1": "ticket"}, 1.0)
     assert len(started(feed(node, START_S + 3.1, answer))) == 1
     commit(node, START_S + 3.2)
-    node.book.load["w1"] = model.NO_ROOM
+    node.replicated.load["w1"] = model.NO_RESOURCES
     assert started(feed(node, START_S + 6.0, events.Ticked())) == []
     assert node.advice[("job", 0, 0)].is_asking
--- a/packages/eelgrassdrum-core/tests/test_jobs_records.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_records.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from eelgrassdrum_core.jobs import Book, model
+from eelgrassdrum_core.jobs import ReplicatedState, model
 from eelgrassdrum_core.jobs import _fold as fold
 from eelgrassdrum_core.jobs import _records as records
 from eelgrassdrum_core.jobs import _snapshot as snapshot
@@ -76,28 +76,28 @@
     """
     Fold records into a book.
     """
-    book = Book()
+    replicated = ReplicatedState()
     for item in items:
-        fold.apply(book, item, 10.0, WALL_MS)
-        fold.confirm(book, item)
-        book.offset += 1
-    return book
+        fold.apply(replicated, item, 10.0, WALL_MS)
+        fold.confirm(replicated, item)
+        replicated.offset += 1
+    return replicated
 
 
-def recount(book):
+def recount(replicated):
     """
     Count the use of workers and workspaces anew from the tasks.
     """
     load, used = {}, {}
-    for job in book.jobs.values():
+    for job in replicated.jobs.values():
         for steps in job.occurrences.values():
             for state in steps:
                 for task in state.tasks:
                     if task.status == "running":
-                        need = model.Room(*state.step.need)
-                        room = load.get(task.worker, model.NO_ROOM)
-                        load[task.worker] = room.plus(state.step.room)
-                        used[job.workspace] = used.get(job.workspace, model.NO_ROOM).plus(need)
+                        need = model.Resources(*state.step.need)
+                        resources = load.get(task.worker, model.NO_RESOURCES)
+                        load[task.worker] = resources.plus(state.step.resources)
+                        used[job.workspace] = used.get(job.workspace, model.NO_RESOURCES).plus(need)
     return load, used
 
 
@@ -107,10 +107,10 @@
     """
     However records follow each other, the use of workers and workspaces is that of running tasks.
     """
-    book = folded(items)
-    load, used = recount(book)
-    assert {key: room for key, room in book.load.items() if any(room)} == load
-    assert {key: room for key, room in book.used.items() if any(room)} == used
+    replicated = folded(items)
+    load, used = recount(replicated)
+    assert {key: resources for key, resources in replicated.load.items() if any(resources)} == load
+    assert {key: resources for key, resources in replicated.used.items() if any(resources)} == used
 
 
 @given(st.lists(RECORDS, max_size=40))
@@ -119,14 +119,16 @@
     """
     A book that was stored and read again says the same.
     """
-    book = folded(items)
-    data = snapshot.encode(book, 10.0, WALL_MS)
+    replicated = folded(items)
+    data = snapshot.encode(replicated, 10.0, WALL_MS)
     again = snapshot.decode(data, 10.0, WALL_MS)
     assert snapshot.encode(again, 10.0, WALL_MS) == data
-    assert again.load == {key: room for key, room in book.load.items() if any(room)}
-    assert set(again.open_jobs) == set(book.open_jobs)
+    assert again.load == {
+        key: resources for key, resources in replicated.load.items() if any(resources)
+    }
+    assert set(again.open_jobs) == set(replicated.open_jobs)
     assert {q: n for q, n in again.pending.items() if n} == {
-        q: n for q, n in book.pending.items() if n
+        q: n for q, n in replicated.pending.items() if n
     }
 
 
@@ -153,21 +155,21 @@
     """
     A record of a former owner that comes late is left out by everyone.
     """
-    book = folded(
+    replicated = folded(
         [
             records.Submitted("j1", "q", "s", "a", SPEC, WALL_MS),
             records.Claimed(2, "new", 1),
             records.Started(1, "j1", 0, 0, 0, 1, "w1", 1),
         ]
     )
-    assert book.running == {}
+    assert replicated.running == {}
 
 
 def test_a_run_that_was_given_up_may_have_ended_well():
     """
     An end as done of the newest run counts although the run was given up before.
     """
-    book = folded(
+    replicated = folded(
         [
             records.Submitted("j1", "q", "s", "a", SPEC, WALL_MS),
             records.Claimed(1, "entry", 1),
@@ -176,4 +178,4 @@
             records.Ended(1, "j1", 0, 0, 0, 1, "done", ""),
         ]
     )
-    assert book.jobs["j1"].occurrences[0][0].left == 1
+    assert replicated.jobs["j1"].occurrences[0][0].unfinished == 1
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_app.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_app.py
@@ -221,7 +221,7 @@
         :returns: whether it can take calls.
         """
         node = self.node
-        age_s = self.clock() - node.tail.ok_s
+        age_s = self.clock() - node.tail.last_success_s
         is_loaded = node.config is not None and not node.tail.needs_snapshot
         return is_loaded and not node.is_stopping and age_s < READY_STALE_S
 
--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/bench/_bench_jobs.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/bench/_bench_jobs.py
@@ -22,7 +22,7 @@
 LOAD_S = 5.0
 # An entry instance has about one core; half of it is left to callers.
 MOST_OWNER_SHARE = 0.5
-CAPACITY = model.Room(32_000, 128_000, 0)
+CAPACITY = model.Resources(32_000, 128_000, 0)
 WORKERS = 30
 ONE_TASK = model.JobSpec("x" * 1200, (model.Step(1, (500, 100, 0), 300),))
 STEPS = ("job.accepted", "run.decided")
--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/jobs/_owner.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/jobs/_owner.py
@@ -15,7 +15,9 @@
 OWNER_TOKEN = 1000
 
 
-def make_owner_config(has_advice: bool = False, limit: model.Room = model.NO_ROOM) -> model.Config:
+def make_owner_config(
+    has_advice: bool = False, limit: model.Resources = model.NO_RESOURCES
+) -> model.Config:
     """
     Give a configuration with an urgent queue and another one of the same service.
 
@@ -85,7 +87,7 @@
     :param labels: its labels beside the rack.
     :returns: the entry.
     """
-    capacity = model.Room(millicores, 64_000, 0)
+    capacity = model.Resources(millicores, 64_000, 0)
     names = frozenset({*labels, rack})
     return model.WorkerEntry(
         name, 7, f"{name}:1", "service", "z", f"m-{name}", rack, names, capacity, False, 5000
@@ -116,7 +118,7 @@
         )
         for job, queue, steps, age_s in jobs
     ]
-    offset = node.book.offset
+    offset = node.replicated.offset
     data = tuple(encode_records(records))
     produced = feed(node, now_s, events.LogRead(offset, data, offset + len(data), now_s))
     return started(produced)
--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/jobs/_patterns.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/jobs/_patterns.py
@@ -12,7 +12,7 @@
 from ._world import World, add_worker, run_until, submit
 
 SETTLE_S = 4.0
-CAPACITY = model.Room(8_000, 64_000, 0)
+CAPACITY = model.Resources(8_000, 64_000, 0)
 SLACK_FACTOR = 1.6
 TARGET_S = 0.6
 CALM_S = 12.0
@@ -215,11 +215,11 @@
 
 
 def _served(world: World, submitted: dict[str, tuple[float, float]], instance_s: float) -> Served:
-    book = next(iter(world.instances.values())).node.book
+    replicated = next(iter(world.instances.values())).node.replicated
     ages = [
-        (book.jobs[job].closed_s - at_s, objective_s)
+        (replicated.jobs[job].closed_s - at_s, objective_s)
         for job, (at_s, objective_s) in submitted.items()
-        if job in book.jobs and book.jobs[job].shown == "completed"
+        if job in replicated.jobs and replicated.jobs[job].committed_state == "completed"
     ]
     in_time = sum(age_s <= objective_s for age_s, objective_s in ages)
     at_all = sum(age_s <= 3 * objective_s for age_s, objective_s in ages)
--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/jobs/_rules.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/jobs/_rules.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from eelgrassdrum_core.jobs import model
-from eelgrassdrum_core.jobs._book import Job
+from eelgrassdrum_core.jobs._replicated_state import Job
 
 from ._worker import JobWorker, Run
 
@@ -36,7 +36,7 @@
 
     specs: dict[str, model.JobSpec] = {}
     workspaces: dict[str, str] = {}
-    limits: dict[str, model.Room] = {}
+    limits: dict[str, model.Resources] = {}
     ended: set[model.TaskKey] = set()
     done: set[model.TaskKey] = set()
     noted_failures: dict[model.TaskKey, int] = {}
@@ -76,9 +76,9 @@
     if run.key in judge.done:
         _broken(judge, "done_never_starts_again", at_s, name)
     _judge_twice(judge, at_s, workers, worker, run, name)
-    used = model.NO_ROOM
+    used = model.NO_RESOURCES
     for other in worker.runs.values():
-        used = used.plus(other.room)
+        used = used.plus(other.resources)
     if not used.fits(worker.capacity):
         _broken(judge, "room_holds", at_s, f"{worker.id} {used}")
     step = spec.steps[run.key.step]
@@ -110,11 +110,11 @@
     limit = judge.limits.get(workspace)
     if limit is None:
         return
-    used = model.NO_ROOM
+    used = model.NO_RESOURCES
     for worker in workers.values():
         for other in worker.runs.values():
             if worker.is_up and judge.workspaces.get(other.key.job) == workspace:
-                used = used.plus(other.room)
+                used = used.plus(other.resources)
     # A limit of 0 in a part is none.
     if any(bound and have > bound for have, bound in zip(used, limit, strict=True)):
         _broken(judge, "limit_holds", at_s, f"{workspace} {used} of {limit}")
@@ -142,11 +142,11 @@
     :param end: the end.
     """
     spec = judge.specs.get(end.key.job)
-    if spec is None or spec.steps[end.key.step].lasts:
+    if spec is None or spec.steps[end.key.step].is_long_running:
         return
-    if end.how == "done":
+    if end.end_state == "done":
         judge.done.add(end.key)
-    elif end.how == "failed":
+    elif end.end_state == "failed":
         failures = judge.noted_failures
         failures[end.key] = failures.get(end.key, 0) + 1
 
@@ -188,12 +188,12 @@
         if job is None:
             _broken(judge, "accepted_is_kept", at_s, job_id)
             continue
-        is_over = job.shown in ("completed", "failed", "cancelled")
-        if not is_over and not job.lasts and not job.cancelled:
-            _broken(judge, "accepted_is_finished", at_s, f"{job_id} {job.shown}")
-        if job.shown == "completed":
+        is_over = job.committed_state in ("completed", "failed", "cancelled")
+        if not is_over and not job.is_long_running and not job.cancelled:
+            _broken(judge, "accepted_is_finished", at_s, f"{job_id} {job.committed_state}")
+        if job.committed_state == "completed":
             _judge_completed(judge, at_s, job)
-        if job.shown == "failed":
+        if job.committed_state == "failed":
             _judge_failed(judge, at_s, job_id)
 
 
--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/jobs/_schedule.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/jobs/_schedule.py
@@ -19,8 +19,8 @@
 JOBS = 40
 INSTANCES = 5
 WORKERS = 6
-CAPACITY = model.Room(8_000, 64_000, 0)
-LIMIT = model.Room(26_000, 0, 0)
+CAPACITY = model.Resources(8_000, 64_000, 0)
+LIMIT = model.Resources(26_000, 0, 0)
 
 
 class ScheduleResult(NamedTuple):
@@ -44,7 +44,7 @@
     :returns: the configuration.
     """
     queue = model.Queue("q", "host", "/q/", "service", 0, _rules.MAX_ATTEMPTS, 1.6, 600, False)
-    limit = LIMIT if is_limited else model.NO_ROOM
+    limit = LIMIT if is_limited else model.NO_RESOURCES
     workspace = model.Workspace("a", frozenset({"key-a"}), 1.0, limit)
     return model.Config(
         1,
@@ -76,7 +76,7 @@
             )
         )
     if rng.random() < 0.08:
-        steps = [model.Step(count=2, need=(500, 1000, 0), lasts=True, max_unavailable=1)]
+        steps = [model.Step(count=2, need=(500, 1000, 0), is_long_running=True, max_unavailable=1)]
     return model.JobSpec("payload", tuple(steps))
 
 
@@ -135,4 +135,4 @@
 def _judge_end(world: World) -> None:
     up = [instance for instance in world.instances.values() if instance.is_up]
     for instance in up:
-        _rules.on_end_of_world(world.judge, world.now_s, instance.node.book.jobs)
+        _rules.on_end_of_world(world.judge, world.now_s, instance.node.replicated.jobs)
--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/jobs/_worker.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/jobs/_worker.py
@@ -21,12 +21,12 @@
 
     key: model.TaskKey
     run: int
-    room: model.Room
+    resources: model.Resources
     started_s: float
     work_s: float
     ends_s: float
     how: str
-    lasts: bool
+    is_long_running: bool
     left_s: float
     left_at_s: float
     stop_s: float | None = None
@@ -50,7 +50,7 @@
     zone: str
     instance: str
     address: str
-    capacity: model.Room
+    capacity: model.Resources
     incarnation: int
     born_s: float
     rack: str = "r1"
@@ -146,10 +146,19 @@
         :param how: how it will end.
         :returns: the run.
         """
-        work_s = float("inf") if step.lasts else work_s
+        work_s = float("inf") if step.is_long_running else work_s
         ends_s = self.end_of(now_s, work_s)
         self.runs[key] = Run(
-            key, run, step.room, now_s, work_s, ends_s, how, step.lasts, work_s, now_s
+            key,
+            run,
+            step.resources,
+            now_s,
+            work_s,
+            ends_s,
+            how,
+            step.is_long_running,
+            work_s,
+            now_s,
         )
         return self.runs[key]
 
@@ -199,6 +208,6 @@
         )
 
     def _percent(self, run: Run, now_s: float) -> int:
-        if run.lasts:
+        if run.is_long_running:
             return 100 if now_s - run.started_s > 0.5 else 50
         return round(99 * (1 - self.left_s(run, now_s) / max(0.001, run.work_s)))
--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/jobs/_world.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/jobs/_world.py
@@ -301,7 +301,7 @@
     later(world, TICK_S, lambda: advance_workers(world))
 
 
-def add_worker(world: World, number: int, service: str, capacity: model.Room) -> JobWorker:
+def add_worker(world: World, number: int, service: str, capacity: model.Resources) -> JobWorker:
     """
     Add a worker on an instance of its own.
 
--- a/packages/eelgrassdrum-testing/tests/test_jobs_schedules.py
+++ b/packages/eelgrassdrum-testing/tests/test_jobs_schedules.py
@@ -8,13 +8,13 @@
 from typing import Any
 
 from eelgrassdrum_core.jobs import (
-    _book,
     _instances,
     _journal,
     _leases,
     _orders,
     _planner,
     _ready,
+    _replicated_state,
     _runs,
     _workers,
     model,
@@ -142,7 +142,7 @@
         return any(
             worker.entry.instance == instance
             and worker.is_listed
-            and worker.id in node.book.running
+            and worker.id in node.replicated.running
             for worker in node.workers.values()
         )
 
@@ -174,7 +174,7 @@
                 batch.acks[worker_id] = (worker.entry.incarnation, number)
         real(node)
         for worker in node.workers.values():
-            worker.told = 0
+            worker.ack_confirmed = 0
 
     with replaced(_journal, "_commit", for_any_life):
         assert "done_never_starts_again" in broken_rules([14, 42], CRASHES_AND_OUTAGES)
@@ -185,10 +185,10 @@
     Mutation: jobs that fail at the first failed run fail without cause, and the check shows it.
     """
 
-    def at_once(task: _book.Task, step: model.Step, _most: int) -> bool:
-        return not step.lasts and task.failures >= 1
+    def at_once(task: _replicated_state.Task, step: model.Step, _most: int) -> bool:
+        return not step.is_long_running and task.failures >= 1
 
-    with replaced(_book, "max_attempts_reached", at_once):
+    with replaced(_replicated_state, "max_attempts_reached", at_once):
         assert "failed_with_cause" in broken_rules([1, 2, 3], ("worker_fails_all",))
 
 
