--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_logging.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_logging.py
@@ -27,7 +27,7 @@
 KEPT_HOWS = frozenset({"failed", "lost", "lapsed", "refused", "unsent"})
 
 
-class ReplicatedState(msgspec.Struct, eq=False):
+class LogState(msgspec.Struct, eq=False):
     """
     Lines that wait, and those that were left out.
 
@@ -51,7 +51,7 @@
     :param zone: its availability zone, part of every line.
     :returns: a function that takes the action and more fields; it must be given no secrets.
     """
-    state = ReplicatedState()
+    state = LogState()
     descriptor = sys.stdout.fileno()
     _set_nonblocking(descriptor)
     eliot.add_destinations(lambda message: _emit(state, descriptor, message))
@@ -77,7 +77,7 @@
         print(f"standard output stays blocking: {exc}", file=sys.stderr)
 
 
-def _is_wanted(state: ReplicatedState, action: str, fields: dict[str, Any]) -> bool:
+def _is_wanted(state: LogState, action: str, fields: dict[str, Any]) -> bool:
     if action not in PROGRESS or fields.get("how") in KEPT_HOWS:
         return True
     second = int(time.monotonic())
@@ -87,7 +87,7 @@
     return state.progress <= PROGRESS_LINES_PER_S
 
 
-def _emit(state: ReplicatedState, descriptor: int, message: dict[str, Any]) -> None:
+def _emit(state: LogState, descriptor: int, message: dict[str, Any]) -> None:
     state.waiting.append(msgspec.json.encode(message, enc_hook=str) + b"\n")
     if len(state.waiting) > MAX_WAITING_LINES:
         state.waiting.popleft()
@@ -95,7 +95,7 @@
     _flush(state, descriptor)
 
 
-def _flush(state: ReplicatedState, descriptor: int) -> None:
+def _flush(state: LogState, descriptor: int) -> None:
     while state.waiting or state.blocked_part:
         data = state.blocked_part or state.waiting.popleft()
         try:
