--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/__init__.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/__init__.py
@@ -1,7 +1,7 @@
 """
-The scheduling of jobs: a pure reducer over the events of one instance.
+Job scheduling as a pure reducer over the events of one instance.
 
-`new_node` makes the state, `reduce` takes an event and gives the effects to carry out.
+`new_node` builds the state; `reduce` applies an event and returns the effects to carry out.
 """
 
 from . import _records as records
@@ -28,10 +28,10 @@
 
 def new_node(identity: Identity, bounds: model.Bounds) -> Node:
     """
-    Make the state of an instance that has just started.
+    Build the state of an instance that has just started.
 
-    :param identity: which instance it is.
-    :param bounds: times that the platform promises or asks for.
+    :param identity: identity of the instance.
+    :param bounds: time limits that the platform guarantees or requires.
     :returns: the state.
     """
     return Node(identity, bounds)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_fold.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_fold.py
@@ -1,5 +1,5 @@
 """
-Folds the records of the job log into the book.
+Applies the records of the job log to the replicated state.
 """
 
 from collections.abc import Callable
@@ -12,12 +12,12 @@
 
 def apply(replicated: ReplicatedState, record: _records.Record, now_s: float, wall_ms: int) -> None:
     """
-    Apply one record.
+    Apply a record. Records of an owner whose epoch isn't the current one have no effect.
 
-    :param replicated: the state, changed in place.
+    :param replicated: the replicated state, modified in place.
     :param record: the record.
-    :param now_s: this instance's clock.
-    :param wall_ms: Unix time.
+    :param now_s: the current time by this instance's clock.
+    :param wall_ms: the current Unix time.
     """
     if isinstance(record, _records.OWNER_RECORDS) and record.epoch != replicated.epoch:
         return
@@ -26,10 +26,10 @@
 
 def confirm(replicated: ReplicatedState, record: _records.Record) -> None:
     """
-    Show callers what a record that stands in the log says.
+    Update the committed states of jobs, which callers are told, from a committed record.
 
-    :param replicated: the state, changed in place.
-    :param record: the record.
+    :param replicated: the replicated state, modified in place.
+    :param record: the record, which is in the log.
     """
     if isinstance(record, _records.Closed):
         job = replicated.jobs.get(record.job)
@@ -128,7 +128,7 @@
     if task is None or record.run != task.run:
         return
     job = replicated.jobs[record.job]
-    # A run that was given up may be found to have ended well.
+    # A run that was recorded as lost may turn out to have completed.
     is_late_completion = (
         task.status == _replicated_state.WAITING and record.end_state == _replicated_state.DONE
     )
@@ -155,7 +155,7 @@
     state: _replicated_state.StepState,
     task: Task,
 ) -> None:
-    # One end of a gang stands for all of its members.
+    # When one member of a gang completes, the whole gang is done.
     finished = state.tasks if state.step.gang else [task]
     for member in finished:
         if member.status == _replicated_state.DONE:
@@ -171,11 +171,11 @@
 
 def add_run(replicated: ReplicatedState, job: Job, task: Task) -> None:
     """
-    Count a run at its worker and its workspace.
+    Add the resources of a run to the load of its worker and the usage of its workspace.
 
-    :param replicated: the state, changed in place.
+    :param replicated: the replicated state, modified in place.
     :param job: the job.
-    :param task: its task that runs.
+    :param task: the running task.
     """
     step = job.spec.steps[task.key.step]
     resources = occurrence_of(job, task.key.occurrence)[task.key.step].resources
@@ -241,11 +241,11 @@
 
 def remove_expired(replicated: ReplicatedState, now_s: float, keep_s: float) -> None:
     """
-    Drop jobs that ended longer ago than callers may look them up.
+    Remove jobs that ended so long ago that callers can no longer look them up.
 
-    :param replicated: the state, changed in place.
-    :param now_s: this instance's clock.
-    :param keep_s: seconds that an ended job is kept.
+    :param replicated: the replicated state, modified in place.
+    :param now_s: the current time by this instance's clock.
+    :param keep_s: seconds for which an ended job is kept.
     """
     old = [
         job.id
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_forwarding.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_forwarding.py
@@ -40,7 +40,7 @@
     Choose where the records of callers go.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     :returns: the owner, or the store while no owner takes them.
     """
     replicated = node.replicated
@@ -55,7 +55,7 @@
     Send the records of callers to the owner.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     :param route: the owner.
     :param seq: number of the batch.
     :param records: the records.
@@ -71,7 +71,7 @@
     Take the records that another instance sends.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     :param event: the records.
     """
     ownership = node.ownership
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_intake.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_intake.py
@@ -42,7 +42,7 @@
     Take a caller's request.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     :param call: the request.
     """
     if node.config is None:
@@ -171,10 +171,10 @@
 
 def is_log_fresh(node: Node, now_s: float) -> bool:
     """
-    Tell whether this instance has read the log to its end lately.
+    Return whether this instance has read the log to its end lately.
 
     :param node: the instance.
-    :param now_s: the clock.
+    :param now_s: the current time by this instance's clock.
     :returns: whether what is not in the book does not exist.
     """
     return node.tail.is_caught_up and now_s - node.tail.last_success_s <= MAX_LOG_AGE_S
@@ -201,7 +201,7 @@
     Send what callers have sent, or the batch in flight again when its answer is overdue.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     """
     intake = node.intake
     if intake.is_waiting:
@@ -231,7 +231,7 @@
     Take what became of the batches that this instance appended as the owner.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     """
     outcomes, node.intake.outcomes = node.intake.outcomes, []
     for seq, outcome in outcomes:
@@ -255,11 +255,11 @@
 
 def on_appended(node: Node, at: Moment, event: events.Appended) -> None:
     """
-    Take the outcome of an append.
+    Handle the outcome of an append.
 
     :param node: the instance.
-    :param at: the time.
-    :param event: the outcome.
+    :param at: the current time.
+    :param event: outcome of the append.
     """
     intake = node.intake
     if event.seq != intake.seq or not intake.batch:
@@ -344,7 +344,7 @@
     A call whose record certainly is not in the log is refused; one whose record may be is told so.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     """
     intake = node.intake
     for call in intake.batch:
@@ -403,7 +403,7 @@
     Give the time after which a caller should come back while the store is away.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     :returns: seconds.
     """
     outage_s = at.now_s - node.tail.last_success_s
@@ -423,7 +423,7 @@
 
 def is_idle(node: Node) -> bool:
     """
-    Tell whether no caller waits for an append.
+    Return whether no caller waits for an append.
 
     :param node: the instance.
     :returns: whether nothing is left to answer.
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_journal.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_journal.py
@@ -1,8 +1,8 @@
 """
-The owner's records: gathered, appended in batches, and followed by their effects.
+Appends the owner's records in batches and emits the effects that depend on them once committed.
 
-One append is in flight at a time. A batch without an answer is sent again under the same number,
-which the store answers as it did the first time.
+One append is in flight at a time. A batch without a response is sent again with the same sequence
+number, so that retries are idempotent: the store repeats its first response.
 """
 
 from . import _fold, effects, events
@@ -11,28 +11,30 @@
 
 CHANNEL = "owner"
 PRODUCER = "owner"
-# The owner shows that it is alive, and how time passes, this often; a third of the silence that
-# ends its ownership.
+# A third of the timeout after which other instances claim the log. The heartbeats also carry the
+# owner's clock, from which all instances compute elapsed time.
 HEARTBEAT_INTERVAL_S = 0.2
-# An append without an answer is sent again after this; a refused one as well.
+# Retry interval of an append that was refused or has no response.
 RETRY_S = 0.15
-# While the store is away, a line says so this often.
+# Minimum interval between log lines about failed appends, while the store is unavailable.
 RETRY_LOG_INTERVAL_S = 1.0
-# Records of callers that the store certainly has not taken are given back after this: two tries.
+# Age at which callers' records are refused if the store definitely didn't append them; allows for
+# two attempts.
 REFUSE_AFTER_S = 0.25
-# Records of callers that wait behind a batch in flight are given back after this; twice the time of
-# an append of the slowest store seen.
+# Age at which callers' records that wait for the batch in flight are refused; twice the append
+# latency of the slowest store observed.
 MAX_QUEUED_S = 0.8
-# The batch in flight is this old before decisions wait for it; several calm round trips.
+# Age of the batch in flight from which no new decisions are made; several round trips to a store
+# without load.
 STALL_TIMEOUT_S = 0.4
 
 
 def write(node: Node, at: Moment, record: Record) -> None:
     """
-    Apply one of the owner's records and append it with the next batch.
+    Apply a record of the owner and append it with the next batch.
 
     :param node: the instance, which owns the log.
-    :param at: the time.
+    :param at: the current time.
     :param record: the record.
     """
     _fold.apply(node.replicated, record, at.now_s, at.wall_ms)
@@ -41,7 +43,7 @@
 
 def emit_after_commit(node: Node, effect: object) -> None:
     """
-    Carry out an effect once everything written so far stands in the log.
+    Emit an effect once all records written so far are committed.
 
     :param node: the instance.
     :param effect: the effect.
@@ -51,18 +53,18 @@
 
 def acknowledge(node: Node, worker: Worker, number: int) -> None:
     """
-    Acknowledge a worker's end once everything written so far stands in the log.
+    Acknowledge the end of a run to its worker once all records written so far are committed.
 
     :param node: the instance.
     :param worker: the worker.
-    :param number: the end.
+    :param number: number of the end in the worker's list.
     """
     node.journal.next.acks[worker.id] = (worker.entry.incarnation, number)
 
 
 def add_callers_records(node: Node, records: CallerRecords) -> None:
     """
-    Append records of callers with the next batch.
+    Append callers' records with the next batch.
 
     :param node: the instance, which owns the log.
     :param records: the records.
@@ -72,11 +74,11 @@
 
 def is_stalled(node: Node, now_s: float) -> bool:
     """
-    Tell whether the store takes too long for new decisions to be made.
+    Return whether the store responds too slowly for new decisions to be made.
 
     :param node: the instance.
-    :param now_s: the clock.
-    :returns: whether the append in flight is late.
+    :param now_s: the current time by this instance's clock.
+    :returns: whether the append in flight is older than `STALL_TIMEOUT_S`.
     """
     journal = node.journal
     return journal.in_flight is not None and now_s - journal.sent_s > STALL_TIMEOUT_S
@@ -84,10 +86,13 @@
 
 def reset(node: Node, seq: int) -> None:
     """
-    Begin anew, as the owner of a new epoch.
+    Start with an empty journal after a change of ownership.
+
+    Callers' records that were pending are answered: as unknown if their append was in flight,
+    otherwise as refused.
 
     :param node: the instance.
-    :param seq: number of the last append of the epoch.
+    :param seq: sequence number of the epoch's last append so far.
     """
     former, node.journal = node.journal, Journal(seq=seq)
     if former.in_flight is not None:
@@ -97,7 +102,7 @@
 
 def _answer_callers(node: Node, batch: Batch, outcome: str) -> None:
     """
-    Say what became of the records of callers in a batch, which then leave it.
+    Report the outcome of the callers' records in a batch and remove them from it.
     """
     callers, batch.callers = batch.callers, []
     for item in callers:
@@ -113,10 +118,10 @@
 
 def flush(node: Node, at: Moment) -> None:
     """
-    Send the next batch, or the one in flight again when its answer is overdue.
+    Send the next batch, or resend the one in flight if its retry is due.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     """
     journal = node.journal
     if not node.ownership.is_owner:
@@ -150,7 +155,7 @@
 
 def _refuse_queued_callers(node: Node, at: Moment) -> None:
     """
-    Refuse the records of callers that have waited too long behind a batch in flight.
+    Refuse callers' records that have waited too long for the batch in flight.
     """
     callers = node.journal.next.callers
     if not callers or at.now_s - callers[0].since_s < MAX_QUEUED_S:
@@ -163,7 +168,7 @@
 
 def _refuse_in_flight_callers(node: Node, at: Moment) -> None:
     """
-    Take the records of callers out of a batch that the store certainly has not taken.
+    Refuse the callers' records of a batch that the store definitely didn't append.
     """
     journal = node.journal
     batch = journal.in_flight
@@ -191,11 +196,11 @@
 
 def on_appended(node: Node, at: Moment, event: events.Appended) -> bool:
     """
-    Take the outcome of an append.
+    Handle the outcome of an append.
 
     :param node: the instance.
-    :param at: the time.
-    :param event: the outcome.
+    :param at: the current time.
+    :param event: outcome of the append.
     :returns: whether this instance still owns the log.
     """
     journal = node.journal
@@ -236,7 +241,8 @@
     _answer_callers(node, batch, events.OK)
     for worker_id, (incarnation, number) in batch.acks.items():
         worker = node.workers.get(worker_id)
-        # A worker that has restarted since numbers its ends anew.
+        # A restarted worker numbers its ends from the start, so a number of its former incarnation
+        # must not acknowledge them.
         if worker is not None and worker.entry.incarnation == incarnation:
             worker.acked = max(worker.acked, number)
     node.out.extend(batch.effects)
@@ -244,7 +250,7 @@
 
 def is_idle(node: Node) -> bool:
     """
-    Tell whether every record of the owner stands in the log.
+    Return whether all records of the journal are committed.
 
     :param node: the instance.
     :returns: whether nothing is left to append.
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_leases.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_leases.py
@@ -24,7 +24,7 @@
     Give up the runs on workers that can't be reached, once their leases have surely run out.
 
     :param node: the instance, which owns the log.
-    :param at: the time.
+    :param at: the current time.
     """
     for worker_id in list(node.replicated.running):
         worker = node.workers.get(worker_id)
@@ -46,7 +46,7 @@
 
     :param node: the instance.
     :param worker: the worker.
-    :returns: time by this instance's clock.
+    :returns: time by this instance's clock, in seconds.
     """
     if not worker.is_held:
         return max(worker.possible_runs_until_s, _ownership.former_leases_end_s(node))
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_node.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_node.py
@@ -20,7 +20,7 @@
     The time at which an event is reduced.
 
     :param now_s: a clock that goes on while the instance is suspended.
-    :param wall_ms: Unix time.
+    :param wall_ms: the current Unix time.
     """
 
     now_s: float
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ownership.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ownership.py
@@ -1,9 +1,9 @@
 """
-Decides which instance owns the log, and with it all decisions about tasks and instances.
+Leader election: decides which instance owns the log and so decides about tasks and instances.
 
-An owner that is silent for a while loses the log to the first instance whose claim is appended. The
-store lets only one claim of an epoch in, and refuses appends of an older epoch from then on. A
-claimant takes over when it reads its own claim, so it has read all that came before it.
+When no record of the owner arrives for a timeout, the log goes to the first instance whose claim is
+appended. The store accepts only one claim per epoch and from then on refuses appends with an older
+epoch. A claimant takes over when it reads its own claim; by then it has read all earlier records.
 """
 
 from typing import Any
@@ -16,41 +16,44 @@
 from .model import Bounds
 
 CHANNEL = "claim"
-# Silence of the owner after which its log is claimed: three of its beats.
+# Minimum time without a record of the owner after which its log is claimed: three heartbeats.
 OWNER_TIMEOUT_S = 0.6
-# More silence where the store takes long for an answer, as multiples of that: the owner's append
-# and the read that shows it.
+# Multiple of the store's response time by which the timeout is extended: one for the owner's append
+# and one for the read that returns it.
 STORE_DELAY_FACTOR = 2.0
-# Silence as a multiple of the longest gap between the owner's records of late, and its bound.
+# Minimum timeout as a multiple of the longest recent gap between the owner's records.
 OWNER_GAP_FACTOR = 2.0
+# Upper bound of the timeout.
 MAX_OWNER_TIMEOUT_S = 2.4
-# After a claim that failed, another one is sent no sooner than this: time to read who has the log.
+# Minimum delay after a failed claim, which allows time to read who owns the log.
 CLAIM_BACKOFF_S = 0.4
-# Spread of the claims of several instances, so that the first is seen by the others.
+# Jitter between the claims of several instances, so that the others can read the first claim before
+# they send theirs.
 CLAIM_JITTER_S = 0.1
 CLAIM_JITTER_STEPS = 16
-# Instances that started lately claim first, by up to this much: a rolling restart comes to them
-# last. From this age on it makes no difference.
+# Maximum extra delay by age: recently started instances claim first, since a rolling restart
+# reaches them last.
 MAX_AGE_DELAY_S = 0.2
+# Age from which the delay by age no longer grows.
 OLD_INSTANCE_S = 60.0
-# Instances with a narrow link or little processor time claim last, by up to this much: the owner
-# sends all orders. It exceeds the time between two reads of the log, by which others learn of a
-# silence.
+# Maximum extra delay of instances with a slow link or little CPU time: they claim last, because the
+# owner sends all orders. It exceeds the interval between two reads of the log, from which the other
+# instances notice the owner's timeout.
 MAX_WEAKNESS_DELAY_S = 0.6
-# A claim without an answer is given up after this; if it was done, the log shows it.
+# Timeout of a claim without a response. If the claim was appended, it is read from the log.
 CLAIM_TIMEOUT_S = 1.5
-# Clocks of workers may be this much slow; leases are waited out by it.
+# Fraction by which workers' clocks may run slow; waits for the expiry of leases are extended by it.
 CLOCK_DRIFT = 0.021
-# Added to a wait for a lease that was given by someone else.
+# Safety margin of a wait for the expiry of leases.
 LEASE_MARGIN_S = 0.3
 
 
 def claim_if_owner_silent(node: Node, at: Moment) -> None:
     """
-    Claim the log if its owner seems gone.
+    Claim the log if it has no owner or the owner's timeout has passed.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     """
     ownership = node.ownership
     if ownership.is_owner or node.is_stopping or not node.tail.is_caught_up:
@@ -94,10 +97,13 @@
 
 def claim_delay_s(node: Node, at: Moment) -> float:
     """
-    Give this instance's place among those that would claim the next epoch.
+    Return how long this instance waits before it claims the next epoch.
+
+    The delay consists of a jitter that is derived from the instance and the epoch, and of delays
+    for old instances and for those with few resources.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     :returns: seconds to wait.
     """
     seed = f"{node.identity.producer}/{node.replicated.epoch}"
@@ -112,11 +118,11 @@
 
 def on_claim_appended(node: Node, at: Moment, event: events.Appended) -> None:
     """
-    Take the outcome of a claim. Whether it holds is read from the log.
+    Handle the outcome of appending a claim. Whether the claim won is only decided by reading it.
 
     :param node: the instance.
-    :param at: the time.
-    :param event: the outcome.
+    :param at: the current time.
+    :param event: outcome of the append.
     """
     ownership = node.ownership
     if event.outcome == events.OK:
@@ -130,12 +136,12 @@
 
 def on_claimed(node: Node, at: Moment, record: Claimed) -> bool:
     """
-    Take a claim that was read from the log.
+    Handle a claim that was read from the log.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     :param record: the claim.
-    :returns: whether this instance has just come to own the log.
+    :returns: whether this instance has just become the owner.
     """
     if record.epoch != node.replicated.epoch:
         return False
@@ -145,7 +151,7 @@
         return False
     if ownership.is_owner:
         step_down(node, at, "claimed_by_another", by=record.instance, epoch=record.epoch)
-    # An own claim of a time before a reload is read again, but its epoch is not taken up again.
+    # After a reload, this instance reads its former claims again but must not resume their epochs.
     if is_own and ownership.is_claiming and record.epoch > ownership.epoch:
         _take_over(node, at, record)
         return True
@@ -183,12 +189,14 @@
 
 def step_down(node: Node, at: Moment, reason: str, **fields: Any) -> None:
     """
-    Stop deciding; the book is read again, since it may hold decisions that were never appended.
+    Give up ownership and request a reload of the replicated state.
+
+    The reload is needed because the state may include records that were never appended.
 
     :param node: the instance.
-    :param at: the time.
-    :param reason: why, for the log.
-    :param fields: more of what decided it.
+    :param at: the current time.
+    :param reason: reason for the structured log.
+    :param fields: further fields of the log line.
     """
     ownership = node.ownership
     if not ownership.is_owner:
@@ -210,10 +218,10 @@
 
 def release(node: Node, at: Moment) -> None:
     """
-    Give the log up, so that another instance need not wait for silence.
+    Release the log, so that another instance can claim it without waiting for the owner's timeout.
 
     :param node: the instance, which owns the log.
-    :param at: the time.
+    :param at: the current time.
     """
     node.journal.next.records.append(Released(node.ownership.epoch))
     log_line(node, "owner.releasing", epoch=node.ownership.epoch)
@@ -221,24 +229,24 @@
 
 def lease_end_s(node: Node, bounds: Bounds) -> float:
     """
-    Give the latest time to which this owner may lease workers.
+    Return the latest time until which this owner may grant leases to workers.
 
-    It depends on when the ownership was last confirmed, so that a new owner can tell when every
-    lease of a former one has run out.
+    It is bounded by the last confirmation of the ownership, so that a new owner knows when all
+    leases of a former owner have expired.
 
     :param node: the instance.
-    :param bounds: times of the platform.
-    :returns: time by this instance's clock.
+    :param bounds: time limits of the platform.
+    :returns: time by this instance's clock, in seconds.
     """
     return node.ownership.confirmed_s + bounds.max_lease_s
 
 
 def former_leases_end_s(node: Node) -> float:
     """
-    Give the time at which all leases of former owners have run out, on the slowest clock.
+    Return the time at which all leases of former owners have expired, even on the slowest clock.
 
     :param node: the instance.
-    :returns: time by this instance's clock.
+    :returns: time by this instance's clock, in seconds.
     """
     lease_s = node.bounds.max_lease_s * (1 + CLOCK_DRIFT)
     return node.ownership.claimed_s + lease_s + LEASE_MARGIN_S
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_records.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_records.py
@@ -1,8 +1,9 @@
 """
-Records of the job log, and their encoding.
+Records of the job log and their encoding.
 
-Records of callers (`Submitted`, `Cancelled`) are appended by any instance. All others are appended
-by the owner of the log and carry its epoch; the store refuses appends of an older epoch.
+Callers' records (`Submitted`, `Cancelled`) may be appended by any instance. All other records are
+appended by the owner of the log and carry its epoch, which acts as a fencing token: the store
+refuses appends with an older epoch.
 """
 
 from collections.abc import Iterable
@@ -18,10 +19,10 @@
 
 class Submitted(_Record, frozen=True, tag="s"):
     """
-    A job was handed in.
+    A caller submitted a job.
 
     :param service: service that the queue used at that time.
-    :param at_ms: Unix time at the instance that took it.
+    :param at_ms: Unix time at the instance that received the job.
     """
 
     job: str
@@ -43,10 +44,10 @@
 
 class Claimed(_Record, frozen=True, tag="o"):
     """
-    An instance owns the log from here on.
+    An instance claims ownership of the log, which it holds from this record on.
 
-    :param incarnation: Unix milliseconds of the instance's start.
-    :param address: where it takes records of callers from other instances, or empty.
+    :param incarnation: Unix time in milliseconds at which the instance started.
+    :param address: address at which it accepts callers' records from other instances, or empty.
     """
 
     epoch: int
@@ -57,7 +58,7 @@
 
 class Released(_Record, frozen=True, tag="l"):
     """
-    The owner gives the log up.
+    The owner releases ownership of the log.
     """
 
     epoch: int
@@ -67,7 +68,7 @@
     """
     The owner is alive.
 
-    :param clock_ms: the owner's clock, which goes on steadily; only differences mean anything.
+    :param clock_ms: the owner's monotonic clock; only differences are meaningful.
     """
 
     epoch: int
@@ -93,7 +94,9 @@
     """
     A run has ended.
 
-    :param end_state: ``done``, ``failed``, ``stopped`` and so on, or ``lost``.
+    :param end_state: how it ended, as reported by the worker (``done``, ``failed``, ``stopped``
+        and so on), or ``lost``.
+    :param checkpoint: last checkpoint of the run, or empty.
     """
 
     epoch: int
@@ -124,7 +127,7 @@
     An order for an instance is about to be sent to the machine service.
 
     :param wave: number of the maintenance wave, or -1 for a move.
-    :param pool: the new pool of a move, else empty.
+    :param pool: target pool of a move, otherwise empty.
     """
 
     epoch: int
@@ -196,7 +199,7 @@
     Encode records for the log.
 
     :param records: the records.
-    :returns: the bytes of each.
+    :returns: the encoded records, in the same order.
     """
     return [_encoder.encode(record) for record in records]
 
@@ -205,8 +208,8 @@
     """
     Decode a record of the log.
 
-    :param data: its bytes.
-    :returns: the record, or ``None`` when it is unreadable.
+    :param data: the encoded record.
+    :returns: the record, or ``None`` if it can't be decoded.
     """
     try:
         return _decoder.decode(data)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_registry.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_registry.py
@@ -18,7 +18,7 @@
     Ask for the entries of workers, unless that is under way.
 
     :param node: the instance, which owns the log.
-    :param at: the time.
+    :param at: the current time.
     """
     registry = node.registry
     if registry.is_reading or at.now_s < registry.next_read_s:
@@ -32,7 +32,7 @@
     Take entries of workers.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     :param event: the entries.
     """
     registry = node.registry
@@ -58,7 +58,7 @@
     Take note that the registry can't be read.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     :param event: why.
     """
     registry = node.registry
@@ -111,7 +111,7 @@
     Take note that a worker is gone, before its entry in the registry lapses.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     :param worker: the worker.
     :param reason: why, for the log.
     """
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_replicated_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_replicated_state.py
@@ -1,5 +1,5 @@
 """
-The state of all jobs, folded from the log by every instance alike.
+The replicated state of all jobs, which every instance computes from the job log.
 """
 
 import msgspec
@@ -19,11 +19,11 @@
 
 class Task(msgspec.Struct, eq=False):
     """
-    One task.
+    The state of a task.
 
-    :param run: number of the newest run; 0 before the first.
-    :param failures: runs that ended as failed.
-    :param checkpoint: newest checkpoint, or empty.
+    :param run: number of the latest run; 0 before the first.
+    :param failures: number of runs that failed.
+    :param checkpoint: latest checkpoint, or empty.
     """
 
     key: TaskKey
@@ -37,11 +37,11 @@
 
 class StepState(msgspec.Struct, eq=False):
     """
-    A step in one occurrence of a job.
+    The state of a step in one occurrence of a job.
 
-    :param unfinished: tasks that are not done.
-    :param waiting: tasks that have no run.
-    :param resources: what each task takes up on a worker.
+    :param unfinished: number of tasks that are not done.
+    :param waiting: number of tasks without a run.
+    :param resources: resources that each task takes up on a worker.
     """
 
     step: Step
@@ -53,13 +53,13 @@
 
 class Job(msgspec.Struct, eq=False):
     """
-    One job.
+    The state of a job.
 
-    :param state: state by all records, including those of the owner not yet in the log.
-    :param committed_state: state by the records of the log alone, which is what callers are told.
-    :param seen_s: when this instance learnt of the job, by its own clock.
-    :param open_occurrences: occurrences whose tasks are not all done.
-    :param critical_path_s: longest chain of work from each step on, once it was asked for.
+    :param state: state by all records, including the owner's records that aren't committed yet.
+    :param committed_state: state by committed records only, which is what callers are told.
+    :param seen_s: estimated time of submission, by this instance's clock.
+    :param open_occurrences: number of occurrences with unfinished tasks.
+    :param critical_path_s: length of the critical path from each step on; empty until computed.
     """
 
     id: str
@@ -80,17 +80,17 @@
     @property
     def is_long_running(self) -> bool:
         """
-        Whether any of its tasks run until the job is cancelled.
+        Whether any task of the job runs until the job is cancelled.
         """
         return any(step.is_long_running for step in self.spec.steps)
 
 
 class InstanceOrder(msgspec.Struct, eq=False):
     """
-    The newest order for an instance.
+    The latest order for an instance.
 
     :param seen_s: when this instance read the order, by its own clock.
-    :param log_s: when it was given, by the time that the log tells.
+    :param log_s: `ReplicatedState.log_s` when the order was read.
     """
 
     wave: int
@@ -104,22 +104,24 @@
 
 class ReplicatedState(msgspec.Struct, eq=False):
     """
-    Everything that the log says.
-
-    :param offset: next offset to be read.
-    :param epoch: epoch of the newest claim.
-    :param owner: instance and incarnation that own the log, or ``None`` once released.
-    :param owner_address: where the owner takes records of callers from other instances.
-    :param running: runs that have not ended, by worker.
-    :param load: room that those runs take up, by worker.
-    :param used: what each workspace has running.
-    :param early_cancels: cancels that came before the submission of their job.
-    :param orders: newest order for each instance.
+    The state that results from applying every record of the job log in order.
+
+    :param offset: offset of the next record to read.
+    :param epoch: epoch of the latest claim.
+    :param owner: instance and incarnation of the log's owner, or ``None`` once released.
+    :param owner_address: address at which the owner accepts callers' records from other instances.
+    :param running: tasks with a running run, by worker.
+    :param load: resources taken up by these runs, by worker.
+    :param used: resources requested by the running tasks of each workspace.
+    :param early_cancels: cancellations that were logged before their job was submitted, with
+        their Unix times in milliseconds.
+    :param orders: latest order for each instance.
     :param maintained: instances whose maintenance has begun, by wave.
-    :param log_s: time that the log tells: the sum of what passed between beats of the same owner.
-        No clock of day is in it, and it never runs ahead.
-    :param log_read_s: when the newest beat was read, by this instance's clock.
-    :param newest_heartbeat: epoch and owner's clock of the newest beat.
+    :param pending: number of queued jobs without a schedule, by queue.
+    :param log_s: elapsed time by the log: the sum of the intervals between heartbeats of the same
+        owner. It doesn't depend on wall clocks and never runs ahead of real time.
+    :param log_read_s: when the latest heartbeat was read, by this instance's clock.
+    :param newest_heartbeat: epoch and owner's clock in milliseconds of the latest heartbeat.
     """
 
     offset: int = 0
@@ -143,10 +145,10 @@
 
 def occurrence_of(job: Job, number: int) -> list[StepState]:
     """
-    Give the steps of an occurrence, made when it is first asked for.
+    Return the steps of an occurrence, which are created on first use.
 
     :param job: the job.
-    :param number: the occurrence, from 0.
+    :param number: number of the occurrence, from 0.
     :returns: state of each step.
     """
     steps = job.occurrences.get(number)
@@ -166,11 +168,11 @@
 
 def find_task(replicated: ReplicatedState, key: TaskKey) -> Task | None:
     """
-    Find a task.
+    Return the task with a key.
 
-    :param replicated: the state.
-    :param key: the task.
-    :returns: it, or ``None`` when there is no such job or task.
+    :param replicated: the replicated state.
+    :param key: key of the task.
+    :returns: the task, or ``None`` if there is no such job or task.
     """
     job = replicated.jobs.get(key.job)
     if job is None or not 0 <= key.step < len(job.spec.steps):
@@ -183,12 +185,12 @@
 
 def is_released(job: Job, number: int, at: int) -> bool:
     """
-    Tell whether all steps that a step waits for are done.
+    Return whether all steps that a step depends on are done.
 
     :param job: the job.
-    :param number: the occurrence.
-    :param at: the step.
-    :returns: whether its tasks may start.
+    :param number: number of the occurrence.
+    :param at: number of the step.
+    :returns: whether the tasks of the step may start.
     """
     steps = occurrence_of(job, number)
     return all(steps[earlier].unfinished == 0 for earlier in job.spec.steps[at].after)
@@ -196,11 +198,11 @@
 
 def max_attempts_reached(task: Task, step: Step, max_attempts: int) -> bool:
     """
-    Tell whether a task has used up its attempts; tasks that last never do.
+    Return whether a task has used up its attempts. Long-running tasks have no such limit.
 
     :param task: the task.
-    :param step: its step.
-    :param max_attempts: bound of its queue.
-    :returns: whether its job has failed.
+    :param step: step of the task.
+    :param max_attempts: limit on failed runs of the task's queue.
+    :returns: whether the job of the task has failed.
     """
     return not step.is_long_running and task.failures >= max_attempts
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_snapshot.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_snapshot.py
@@ -1,8 +1,8 @@
 """
-Snapshots of the book, from which an instance starts in place of the whole log.
+Snapshots of the replicated state, which spare a starting instance the replay of the whole log.
 
-The owner stores one from time to time and then trims the log before it. Only what stands in the
-log may go into a snapshot, so it is made while no record of the owner is on its way.
+The owner stores a snapshot from time to time and then trims the log before it. A snapshot may only
+contain committed records, so it is taken while no record of the owner is pending.
 """
 
 import zlib
@@ -14,12 +14,12 @@
 from ._replicated_state import InstanceOrder, Job, ReplicatedState
 from .model import JobSpec
 
-# Records after which a snapshot is due. They are some 1.5 MB, which the narrowest links seen carry
-# in 2.5 s; folding them takes half a second.
+# Number of new records after which a snapshot is due. They amount to about 1.5 MB, which takes 2.5 s
+# over the slowest links observed, and half a second to apply.
 SNAPSHOT_INTERVAL_RECORDS = 20_000
-# Records that stay in front of a snapshot, for instances that are reading them.
+# Number of records before a snapshot that are kept for instances that are still reading them.
 RETAINED_RECORDS = 10_000
-# Between two tries, since a snapshot takes up the link of a small instance for a second.
+# Minimum interval between two snapshots: each saturates the link of a small instance for a second.
 RETRY_S = 10.0
 
 
@@ -66,12 +66,12 @@
 
 def encode(replicated: ReplicatedState, now_s: float, wall_ms: int) -> bytes:
     """
-    Encode a book.
+    Encode the replicated state as a snapshot.
 
-    :param replicated: the state.
-    :param now_s: this instance's clock.
-    :param wall_ms: Unix time.
-    :returns: the bytes.
+    :param replicated: the replicated state.
+    :param now_s: the current time by this instance's clock.
+    :param wall_ms: the current Unix time.
+    :returns: the compressed snapshot.
     """
     snapshot = _Snapshot(
         replicated.offset,
@@ -91,12 +91,12 @@
 
 def decode(data: bytes, now_s: float, wall_ms: int) -> ReplicatedState | None:
     """
-    Decode a book.
+    Decode a snapshot.
 
-    :param data: the bytes.
-    :param now_s: this instance's clock.
-    :param wall_ms: Unix time.
-    :returns: the state, or ``None`` when the bytes are no snapshot.
+    :param data: the compressed snapshot.
+    :param now_s: the current time by this instance's clock.
+    :param wall_ms: the current Unix time.
+    :returns: the replicated state, or ``None`` if the data isn't a snapshot.
     """
     try:
         snapshot = _decoder.decode(zlib.decompress(data))
@@ -210,15 +210,15 @@
 
 def write_if_due(node: Node, at: Moment) -> None:
     """
-    Store a snapshot if one is due.
+    Store a snapshot if one is due and no record is pending.
 
     :param node: the instance, which owns the log.
-    :param at: the time.
+    :param at: the current time.
     """
     is_due = node.replicated.offset - node.snapshot_offset >= SNAPSHOT_INTERVAL_RECORDS
     if not is_due or node.is_snapshotting or at.now_s < node.snapshot_s:
         return
-    # Records that are decided but not appended must not be in it.
+    # The replicated state includes the owner's pending records, which must not be in a snapshot.
     if not _journal.is_idle(node) or not node.tail.is_caught_up:
         return
     node.is_snapshotting = True
@@ -228,11 +228,11 @@
 
 def on_written(node: Node, at: Moment, event: events.SnapshotWritten) -> None:
     """
-    Take the outcome of storing a snapshot, and trim the log before it.
+    Handle the outcome of storing a snapshot, and trim the log before it.
 
     :param node: the instance.
-    :param at: the time.
-    :param event: the outcome.
+    :param at: the current time.
+    :param event: outcome of the write.
     """
     node.is_snapshotting = False
     node.snapshot_s = at.now_s + RETRY_S
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_tail.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_tail.py
@@ -1,27 +1,28 @@
 """
-Reads the log and keeps the book.
+Reads the job log and applies its records to the replicated state.
 """
 
 from . import _fold, _instances, _intake, _ownership, _replicated_state, _snapshot, effects, events
 from ._node import CallerRecords, Moment, Node, Tail, emit, log_line
 from ._records import OWNER_RECORDS, Cancelled, Claimed, OwnerRecord, Submitted, decode_record
 
-# How long a read waits at the store for a record; bounds the age of what is known of the log.
+# How long a read waits at the store for a new record; bounds the staleness of the replicated state.
 WAIT_S = 0.5
-# An instance that only answers callers reads this often, which bounds the calls to the store.
+# Poll interval of instances that don't own the log; limits the load on the store.
 READER_INTERVAL_S = 0.15
-# A read that failed is tried again after this.
+# Delay before a failed read is retried.
 RETRY_S = 0.1
-# What is left of a former measure at each read: a tenth after two seconds of a reader's reads.
+# Factor by which a former maximum decays at each read: to a tenth after two seconds of reads at
+# `READER_INTERVAL_S`.
 DECAY_FACTOR = 0.85
 
 
 def read(node: Node, at: Moment) -> None:
     """
-    Ask for the next part of the log, unless that is under way.
+    Request the next part of the log, unless a read is in progress or not due yet.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     """
     tail = node.tail
     if tail.is_reading or at.now_s < tail.next_read_s:
@@ -36,11 +37,11 @@
 
 def on_read(node: Node, at: Moment, event: events.LogRead) -> None:
     """
-    Fold a part of the log.
+    Apply a part of the log to the replicated state.
 
     :param node: the instance.
-    :param at: the time.
-    :param event: the part.
+    :param at: the current time.
+    :param event: the part of the log.
     """
     tail = node.tail
     tail.is_reading = False
@@ -76,8 +77,8 @@
     tail: Tail, now_s: float, event: events.LogRead, former_owner_record_s: float
 ) -> None:
     """
-    Note how regular the owner's records come, and how fast the store answers: both tell how long a
-    silence has to be to mean something.
+    Update the decaying maxima of the gap between the owner's records and of the store's response
+    time, from which the timeout of the owner is derived.
     """
     if tail.is_caught_up and tail.owner_record_s > former_owner_record_s:
         tail.owner_gap_s = max(
@@ -90,17 +91,17 @@
 
 def on_gap(node: Node, at: Moment, event: events.LogGap) -> None:
     """
-    Start again from a snapshot, since the log no longer holds what is next.
+    Restart from a snapshot, because the log no longer holds the next record.
 
     :param node: the instance.
-    :param at: the time.
-    :param event: the oldest offset that is left.
+    :param at: the current time.
+    :param event: the oldest offset that the log holds.
     """
     node.tail.is_reading = False
     if node.tail.needs_snapshot:
         return
     if node.replicated.offset == 0 and not node.replicated.jobs:
-        # Nothing is known yet: whatever is left of the log is all that there is.
+        # There is neither a snapshot nor replicated state, so the remaining log is all there is.
         node.replicated.offset = event.first
         log_line(node, "log.starts_late", first=event.first)
         return
@@ -109,11 +110,11 @@
 
 def on_failed(node: Node, at: Moment, event: events.LogReadFailed) -> None:
     """
-    Take note that the log can't be read.
+    Schedule the retry of a failed read of the log.
 
     :param node: the instance.
-    :param at: the time.
-    :param event: why.
+    :param at: the current time.
+    :param event: reason of the failure.
     """
     tail = node.tail
     tail.is_reading = False
@@ -125,11 +126,11 @@
 
 def reload(node: Node, at: Moment, reason: str) -> None:
     """
-    Drop the book and build it again from the store.
+    Discard the replicated state and rebuild it from the store.
 
     :param node: the instance.
-    :param at: the time.
-    :param reason: why, for the log.
+    :param at: the current time.
+    :param reason: reason for the structured log.
     """
     log_line(node, "log.reload", reason=reason, offset=node.replicated.offset)
     node.ownership.reload_wanted = False
@@ -139,10 +140,10 @@
 
 def on_snapshot(node: Node, at: Moment, event: events.SnapshotRead) -> None:
     """
-    Begin from a snapshot.
+    Install a snapshot as the replicated state.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     :param event: the snapshot, if there is one.
     """
     node.tail.is_reading = False
@@ -161,11 +162,11 @@
 
 def fold_callers_records(node: Node, at: Moment, callers: list[CallerRecords]) -> None:
     """
-    Fold records of callers that this instance has just appended, before it reads them.
+    Apply callers' records that this instance has just appended, before it reads them.
 
     :param node: the instance, which owns the log.
-    :param at: the time.
-    :param callers: the records.
+    :param at: the current time.
+    :param callers: the appended records.
     """
     for item in callers:
         for data in item.records:
@@ -206,7 +207,8 @@
         return
     node.tail.owner_record_s = at.now_s
     if node.ownership.is_owner and record.epoch == node.ownership.epoch:
-        # Applied when it was decided; its answer may have been lost.
+        # The owner applied the record when it wrote it. That it is read shows that it is
+        # committed, even if the response to its append was lost.
         _fold.confirm(node.replicated, record)
         return
     _fold.apply(node.replicated, record, at.now_s, at.wall_ms)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/model.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/model.py
@@ -40,7 +40,7 @@
 
     def fits(self, free: "Resources") -> bool:
         """
-        Tell whether this is no more than what is free.
+        Return whether this is no more than what is free.
 
         :param free: what is free.
         :returns: whether it fits.
