--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_forwarding.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_forwarding.py
@@ -1,9 +1,10 @@
 """
-Hands what callers sent to the owner, which appends it together with its own records.
+Forwards callers' records to the owner, which appends them together with its own records.
 
-A partition of the store works off one append at a time, so with many instances that append on their
-own a slow store falls behind, and the owner's records wait among theirs. Without an owner that
-answers, an instance appends by itself; a record that stands in the log twice changes nothing.
+A partition of the store processes one append at a time. If many instances appended on their own, a
+slow store would fall behind and the owner's records would queue among theirs. If the owner doesn't
+respond, an instance appends directly. Callers' records are idempotent, so duplicates in the log are
+harmless.
 """
 
 from typing import NamedTuple
@@ -12,20 +13,20 @@
 from ._node import CallerRecords, Moment, Node, emit, log_line
 from ._records import Cancelled, Submitted, decode_record
 
-# Time for the owner to append what it was given: two appends of the slowest store seen, which took
-# 0.4 s each, and as much for the owner's own work.
+# Timeout of a forwarded batch: two appends to the slowest store observed, 0.4 s each, and the same
+# again for the owner's own work.
 TIMEOUT_S = 1.6
-# An instance whose owner did not take records appends by itself for this long, as long as a new
-# owner takes to be found.
+# Time for which an instance appends directly after the owner didn't accept its records; about as
+# long as it takes until there is a new owner.
 DIRECT_APPEND_S = 1.0
 
 
 class Route(NamedTuple):
     """
-    Where records go.
+    The destination of callers' records.
 
-    :param address: the owner's address, or empty for the store.
-    :param epoch: the owner's epoch.
+    :param address: address of the owner, or empty for the store.
+    :param epoch: epoch of the owner, or 0 for the store.
     """
 
     address: str
@@ -37,11 +38,11 @@
 
 def choose_route(node: Node, at: Moment) -> Route:
     """
-    Choose where the records of callers go.
+    Choose the destination of callers' records.
 
     :param node: the instance.
     :param at: the current time.
-    :returns: the owner, or the store while no owner takes them.
+    :returns: the owner, or the store while no owner accepts records.
     """
     replicated = node.replicated
     is_known = replicated.owner is not None and replicated.owner_address and node.identity.address
@@ -52,13 +53,13 @@
 
 def send(node: Node, at: Moment, route: Route, seq: int, records: tuple[bytes, ...]) -> None:
     """
-    Send the records of callers to the owner.
+    Forward callers' records to the owner, or add them to the journal if this instance owns the log.
 
     :param node: the instance.
     :param at: the current time.
     :param route: the owner.
-    :param seq: number of the batch.
-    :param records: the records.
+    :param seq: sequence number of the batch.
+    :param records: the encoded records.
     """
     if node.ownership.is_owner:
         _journal.add_callers_records(node, CallerRecords(None, seq, records, at.now_s))
@@ -68,7 +69,9 @@
 
 def on_received(node: Node, at: Moment, event: events.PeerRecords) -> None:
     """
-    Take the records that another instance sends.
+    Append callers' records from another instance, or refuse them if this isn't the addressed owner.
+
+    Records of other types are refused, so that no instance can append owner records this way.
 
     :param node: the instance.
     :param at: the current time.
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_intake.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_intake.py
@@ -1,8 +1,8 @@
 """
-Answers callers: takes jobs in, cancels them and says how they stand.
+Handles callers' requests: accepts jobs, cancels them and reports their state.
 
-A submission or a cancel is accepted once its record stands in the log. Every instance takes calls;
-none needs the owner for it.
+A submission or cancellation is accepted once its record is committed to the log. Every instance
+accepts requests, also without a reachable owner.
 """
 
 from collections.abc import Callable
@@ -14,32 +14,32 @@
 from .model import Queue
 
 CHANNEL = "intake"
-# An append without an answer is sent again after this.
+# Retry interval of an append without a response.
 RETRY_S = 0.1
-# A call whose append the store refuses is refused itself after this: two tries.
+# Age at which a call is refused if the store refuses its append; allows for two attempts.
 REFUSE_AFTER_S = 0.25
-# A call that waits behind a batch whose outcome is not known yet is refused after this: twice the
-# time of an append of the slowest store seen.
+# Age at which a call that waits for a batch with a pending outcome is refused; twice the append
+# latency of the slowest store observed.
 MAX_QUEUED_S = 0.8
-# Left of a caller's deadline for its answer to travel back.
+# Part of a caller's deadline that is reserved for sending the response.
 ANSWER_MARGIN_S = 0.1
-# A caller that gives no deadline is taken to wait this long.
+# Assumed deadline of callers that send none.
 DEFAULT_DEADLINE_S = 5.0
-# The store is away: callers come back after as long as it has been away already, within these
-# bounds, since most outages last some seconds.
+# Bounds of the retry delay that callers are given while the store is unavailable. The delay equals
+# the duration of the outage so far; most outages last a few seconds.
 MIN_STORE_RETRY_S = 1.0
 MAX_STORE_RETRY_S = 4.0
-# No configuration yet: an instance that starts has one within this.
+# Retry delay for callers of a starting instance, which has a configuration within this time.
 START_RETRY_S = 0.5
-# An answer that a job does not exist rests on a read of the log no older than this.
+# Maximum age of the latest read of the log for reporting that a job doesn't exist.
 MAX_LOG_AGE_S = 1.5
-# An accepted job that the log has not shown after this was never read back; it is forgotten here.
+# Time after which an accepted job that was never read back from the log is forgotten.
 ACCEPTED_RETENTION_S = 30.0
 
 
 def on_call(node: Node, at: Moment, call: CallReceived) -> None:
     """
-    Take a caller's request.
+    Handle a caller's request.
 
     :param node: the instance.
     :param at: the current time.
@@ -66,12 +66,13 @@
 
 def find_queue(node: Node, host: str, path: str) -> Queue | None:
     """
-    Find the queue that a call is for: that of its host with the longest prefix of its path.
+    Return the queue that a call is for: of the queues of its host, the one with the longest
+    matching path prefix.
 
     :param node: the instance.
     :param host: value of the ``Host`` header.
     :param path: path of the request.
-    :returns: the queue, or ``None``.
+    :returns: the queue, or ``None`` if none matches.
     """
     if node.config is None:
         return None
@@ -127,7 +128,7 @@
 ) -> None:
     job = node.replicated.jobs.get(job_id)
     if not node.tail.has_caught_up:
-        # The book is still that of an earlier time.
+        # The replicated state is still that of a snapshot or of an earlier offset.
         _refuse(node, call, effects.UNAVAILABLE, "log_not_read", START_RETRY_S)
     elif job is not None:
         emit(node, effects.Reply(call.token, effects.STATE, visible_state(job)))
@@ -159,10 +160,10 @@
 
 def visible_state(job: _replicated_state.Job) -> str:
     """
-    Give the state of a job as its caller is told.
+    Return the state of a job that its caller is told.
 
     :param job: the job.
-    :returns: its state; a cancelled job is shown as such at once.
+    :returns: the committed state; a cancelled job is reported as cancelled immediately.
     """
     if job.cancelled and job.committed_state not in _replicated_state.FINAL_STATES:
         return _replicated_state.CANCELLED
@@ -171,18 +172,18 @@
 
 def is_log_fresh(node: Node, now_s: float) -> bool:
     """
-    Return whether this instance has read the log to its end lately.
+    Return whether this instance has recently read the log to its end.
 
     :param node: the instance.
     :param now_s: the current time by this instance's clock.
-    :returns: whether what is not in the book does not exist.
+    :returns: whether a job that is missing from the replicated state doesn't exist.
     """
     return node.tail.is_caught_up and now_s - node.tail.last_success_s <= MAX_LOG_AGE_S
 
 
 def on_abandoned(node: Node, token: int) -> None:
     """
-    Take note that a caller has gone. Its record is appended all the same.
+    Handle the disconnection of a caller. Its record is still appended.
 
     :param node: the instance.
     :param token: the call.
@@ -198,7 +199,7 @@
 
 def flush(node: Node, at: Moment) -> None:
     """
-    Send what callers have sent, or the batch in flight again when its answer is overdue.
+    Append the waiting callers' records, or resend the batch in flight if its retry is due.
 
     :param node: the instance.
     :param at: the current time.
@@ -220,7 +221,7 @@
     intake.is_waiting = True
     intake.route = _forwarding.choose_route(node, at)
     if intake.route == _forwarding.TO_STORE:
-        # Callers' records may stand in the log twice, so the append needs no number at the store.
+        # Callers' records are idempotent, so the append needs no sequence number at the store.
         emit(node, effects.Append(CHANNEL, "", 0, intake.seq, intake.data))
     else:
         _forwarding.send(node, at, intake.route, intake.seq, intake.data)
@@ -228,7 +229,7 @@
 
 def take_outcomes(node: Node, at: Moment) -> None:
     """
-    Take what became of the batches that this instance appended as the owner.
+    Handle the outcomes of the batches that this instance appended as the owner.
 
     :param node: the instance.
     :param at: the current time.
@@ -240,7 +241,7 @@
 
 def on_owner_changed(node: Node) -> None:
     """
-    Send the batch that a former owner was given again, since it may never answer.
+    Resend the batch that was forwarded to a former owner, which may never respond.
 
     :param node: the instance.
     """
@@ -309,11 +310,11 @@
 
 def answer_cancels(node: Node, job_id: str, only_known: bool = False) -> None:
     """
-    Answer those who cancelled a job, once the log says whether there is one.
+    Answer the pending cancellations of a job once the log shows whether the job exists.
 
     :param node: the instance.
-    :param job_id: the job.
-    :param only_known: leave those waiting whose job is not known yet.
+    :param job_id: id of the job.
+    :param only_known: keep the calls waiting if the job isn't known yet.
     """
     is_known = job_id in node.replicated.jobs or job_id in node.intake.accepted
     if only_known and not is_known:
@@ -339,9 +340,10 @@
 
 def expire(node: Node, at: Moment) -> None:
     """
-    Answer the calls that the store keeps waiting for too long.
+    Answer the calls that have waited too long for the store.
 
-    A call whose record certainly is not in the log is refused; one whose record may be is told so.
+    A call is refused if its record is definitely not in the log. If the record may be in the log,
+    the caller is told that the outcome is uncertain.
 
     :param node: the instance.
     :param at: the current time.
@@ -364,7 +366,7 @@
 
 def _refuse_overdue(node: Node, at: Moment) -> None:
     """
-    Refuse the calls of a batch that the store has certainly not taken, once two tries are over.
+    Refuse the calls of a batch that the store definitely didn't append, after two attempts.
     """
     intake = node.intake
     if at.now_s - intake.batch[0].since_s < REFUSE_AFTER_S:
@@ -400,11 +402,11 @@
 
 def store_retry_s(node: Node, at: Moment) -> float:
     """
-    Give the time after which a caller should come back while the store is away.
+    Return the delay after which a caller should retry while the store is unavailable.
 
     :param node: the instance.
     :param at: the current time.
-    :returns: seconds.
+    :returns: the delay in seconds.
     """
     outage_s = at.now_s - node.tail.last_success_s
     return max(MIN_STORE_RETRY_S, min(MAX_STORE_RETRY_S, outage_s))
@@ -423,7 +425,7 @@
 
 def is_idle(node: Node) -> bool:
     """
-    Return whether no caller waits for an append.
+    Return whether no caller waits for an append or for the outcome of a cancellation.
 
     :param node: the instance.
     :returns: whether nothing is left to answer.
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_leases.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_leases.py
@@ -1,5 +1,5 @@
 """
-When the leases of workers have surely run out.
+Determines when the leases of workers have certainly expired, and records their runs as lost.
 """
 
 from . import _journal, _ownership
@@ -14,14 +14,14 @@
 
     :param worker: the worker.
     :param at_s: time by this instance's clock.
-    :returns: its clock in milliseconds.
+    :returns: the worker's clock at that time, in milliseconds.
     """
     return worker.clock_ms + round((at_s - worker.clock_at_s) * 1000)
 
 
 def expire_leases(node: Node, at: Moment) -> None:
     """
-    Give up the runs on workers that can't be reached, once their leases have surely run out.
+    Record the runs on unreachable workers as lost once their leases have certainly expired.
 
     :param node: the instance, which owns the log.
     :param at: the current time.
@@ -42,7 +42,7 @@
 
 def lease_over_s(node: Node, worker: Worker) -> float:
     """
-    Give the time at which a worker's lease has run out, even on the slowest clock.
+    Return the time at which a worker's lease has expired, even on the slowest clock.
 
     :param node: the instance.
     :param worker: the worker.
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_node.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_node.py
@@ -1,5 +1,5 @@
 """
-Everything that one instance knows and is doing.
+The state of one instance.
 """
 
 from collections import deque
@@ -19,8 +19,8 @@
     """
     The time at which an event is reduced.
 
-    :param now_s: a clock that goes on while the instance is suspended.
-    :param wall_ms: the current Unix time.
+    :param now_s: monotonic clock that keeps running while the instance is suspended.
+    :param wall_ms: Unix time.
     """
 
     now_s: float
@@ -29,11 +29,11 @@
 
 class Identity(NamedTuple):
     """
-    Which instance this is.
+    Identity of an instance.
 
-    :param incarnation: Unix milliseconds of the process's start.
+    :param incarnation: Unix time in milliseconds at which the process started.
     :param weakness: 0 for an instance that can carry the owner's load, up to 1 for one that can't.
-    :param address: where it takes records of callers from other instances, or empty.
+    :param address: address at which it accepts callers' records from other instances, or empty.
     """
 
     instance: str
@@ -45,17 +45,19 @@
     @property
     def producer(self) -> str:
         """
-        Name under which this process appends what its callers send.
+        Name of this process, unique across restarts.
         """
         return f"{self.instance}.{self.incarnation}"
 
 
 class CallerRecords(NamedTuple):
     """
-    Records of callers that the owner appends.
+    Callers' records that the owner appends.
 
-    :param token: the exchange with the instance that sent them, or ``None`` for this one.
-    :param seq: number of this instance's batch.
+    :param token: identifies the request of the instance that sent the records; ``None`` if this
+        instance accepted them itself.
+    :param seq: sequence number of this instance's own batch.
+    :param since_s: when the owner received the records.
     """
 
     token: int | None
@@ -66,10 +68,10 @@
 
 class Batch(msgspec.Struct, eq=False):
     """
-    Records that are appended together, and what follows once they stand in the log.
+    Records that are appended together, and the effects that follow once they are committed.
 
-    :param callers: records of callers, appended behind the others.
-    :param acks: incarnation of each worker, and its newest end that the records note.
+    :param callers: callers' records, appended after the others.
+    :param acks: by worker, its incarnation and the number of its latest recorded end of a run.
     """
 
     records: list[Record] = []
@@ -82,13 +84,15 @@
     """
     The owner's appends.
 
-    :param seq: number of the append in flight, or of the last one.
+    :param next: batch to append after the one in flight.
+    :param data: encoded records of the batch in flight.
+    :param seq: sequence number of the append in flight, or of the last one.
     :param sent_s: when the append in flight was first sent.
     :param last_sent_s: when it was last sent.
-    :param heartbeat_s: when the newest beat was written.
-    :param logged_s: when a line about a failed append was last written.
-    :param is_waiting: whether an answer to it is outstanding.
-    :param is_uncertain: whether it may stand in the log already.
+    :param heartbeat_s: when the latest heartbeat was written.
+    :param logged_s: when a failed append was last logged.
+    :param is_waiting: whether a response to the append is outstanding.
+    :param is_uncertain: whether the append in flight may already be committed.
     """
 
     next: Batch = msgspec.field(default_factory=Batch)
@@ -107,7 +111,8 @@
     """
     A call whose record is to be appended.
 
-    :param due_s: when its caller will have stopped waiting.
+    :param due_s: time by which the caller must be answered.
+    :param since_s: when the call was received.
     """
 
     token: int
@@ -118,15 +123,21 @@
 
 class Intake(msgspec.Struct, eq=False):
     """
-    Appends of what callers send.
+    Appends of callers' records.
 
-    :param is_uncertain: whether the batch in flight may stand in the log already.
-    :param is_failing: whether the newest outcome of a batch was no success.
-    :param direct_until_s: batches go to the store itself before this time.
-    :param route: where the batch in flight was sent.
-    :param outcomes: what became of batches that this instance, as the owner, appended itself.
-    :param accepted: jobs that stand in the log but were not read from it yet, by time.
-    :param pending_cancels: calls that wait until the log says whether their job exists.
+    :param batch: calls of the batch in flight.
+    :param data: encoded records of the batch in flight.
+    :param is_uncertain: whether the batch in flight may already be committed.
+    :param is_failing: whether the latest append of a batch failed.
+    :param direct_until_s: batches are appended directly to the store before this time.
+    :param route: destination of the batch in flight.
+    :param outcomes: sequence numbers and outcomes of batches that this instance appended as the
+        owner.
+    :param abandoned: tokens of calls that need no answer any more.
+    :param accepted: jobs that are committed but were not read from the log yet, with the time of
+        their acceptance.
+    :param pending_cancels: by job, tokens and due times of calls that wait until the log shows
+        whether the job exists.
     """
 
     waiting: deque[IntakeCall] = msgspec.field(default_factory=deque)
@@ -147,13 +158,14 @@
 
 class Order(msgspec.Struct, eq=False):
     """
-    A start that the owner has ordered.
+    An order of the owner to start a run.
 
-    :param lease_ms: time on the worker's clock from which the order is void.
-    :param answered_s: when the worker confirmed it; 0 while it has not.
-    :param sent_s: when it was sent; 0 before.
-    :param unanswered_s: when it was given up on without an answer; 0 before.
-    :param barred_s: when the worker confirmed that the run can't begin any more; 0 before.
+    :param lease_ms: time on the worker's clock at which the order expires.
+    :param answered_s: when the worker confirmed it, or 0.
+    :param sent_s: when it was sent, or 0.
+    :param unanswered_s: when it timed out without a response, or 0.
+    :param barred_s: when the worker confirmed that the run can no longer begin, or 0.
+    :param ticket: ticket of the advice service, or empty.
     """
 
     run: int
@@ -167,13 +179,13 @@
 
 class RunProgress(msgspec.Struct, eq=False):
     """
-    How a run gets on.
+    Progress of a run.
 
-    :param percent: its progress in the list that was last measured.
+    :param percent: progress in the worker's latest list that was evaluated.
     :param at_s: the worker's clock at that list, in seconds.
-    :param rate: percent a second between the last two lists, or ``None``.
-    :param best_rate: the highest of these.
-    :param no_progress_s: for how long it has made no progress.
+    :param rate: progress between the last two lists in percent per second, or ``None``.
+    :param best_rate: highest rate so far.
+    :param no_progress_s: seconds since its last progress.
     """
 
     run: int
@@ -186,33 +198,35 @@
 
 class Worker(msgspec.Struct, eq=False):
     """
-    What the owner knows of a worker.
+    The owner's view of a worker.
 
     :param is_listed: whether the registry has an entry of it.
-    :param has_ended: whether its life is known to have ended, whatever its entry says.
-    :param token_raises: how often this owner has raised its token for the worker.
-    :param possible_runs_until_s: until when a life that never answered may have runs.
-    :param outbox: orders to start tasks that wait for others to be answered.
-    :param outstanding: orders to start tasks without an answer.
-    :param is_held: whether it has accepted this owner's token.
+    :param has_ended: whether its incarnation is known to have ended, whatever its entry says.
+    :param token_raises: number of times this owner has raised its fencing token for the worker.
+    :param possible_runs_until_s: time until which an incarnation that never responded may have
+        runs.
+    :param outbox: orders to start tasks that wait for responses to earlier ones.
+    :param outstanding: number of orders to start tasks without a response.
+    :param is_held: whether it has accepted this owner's fencing token.
     :param clock_ms: its clock at `clock_at_s`.
-    :param granted_ms: latest end of a lease that it was given.
-    :param holds: calls for its lists without an answer.
-    :param handled: newest end that was taken up.
-    :param acked: newest end that stands in the log.
-    :param ack_confirmed: newest end whose note the worker is known to have been told of.
-    :param orders: starts by task.
-    :param stops: when each stop was last sent.
-    :param rows: what it listed last.
-    :param rows_s: when the call that listed them was sent.
-    :param unknown_runs: room of runs that it lists and the book does not.
-    :param throttles: percent that each paced task was last given.
-    :param pace: pace of its backfill, once there was any.
-    :param no_starts_until_s: no starts before this time.
-    :param progress: how its runs get on, by task.
-    :param slow_until_s: it counts as slow before this time.
-    :param lists_due_s: when its lists should be here at the latest.
-    :param answer_due_s: when its answer to an order to start should be here at the latest.
+    :param granted_ms: latest expiry of the leases that it was granted, by its own clock.
+    :param holds: number of lease renewals without a response.
+    :param handled: number of its latest end of a run that was processed.
+    :param acked: number of its latest end of a run that is committed to the log.
+    :param ack_confirmed: number of the latest end whose acknowledgement it is known to have
+        received.
+    :param orders: orders to start runs, by task.
+    :param stops: run and time of the latest order to stop, by task.
+    :param rows: runs that it listed last, by task.
+    :param rows_s: when the call that returned this list was sent.
+    :param unknown_runs: resources of runs that it lists but that the log doesn't contain, by task.
+    :param throttles: percentage that each throttled task was last set to.
+    :param pace: state of the throttling of its backfill, once there was any.
+    :param no_starts_until_s: no runs are started on it before this time.
+    :param progress: progress of its runs, by task.
+    :param slow_until_s: it is considered slow before this time.
+    :param lists_due_s: deadline for its next list of runs.
+    :param answer_due_s: deadline for its response to an order to start a task.
     """
 
     entry: WorkerEntry
@@ -251,7 +265,7 @@
     @property
     def id(self) -> str:
         """
-        Its id in the registry.
+        Id of the worker in the registry.
         """
         return self.entry.id
 
@@ -260,8 +274,9 @@
     """
     A maintenance wave.
 
-    :param seen_s: when this instance learnt of it.
+    :param seen_s: when this instance read the wave.
     :param published: state that was last published.
+    :param asked_s: earliest time of the next attempt to publish its state.
     """
 
     wave: Wave
@@ -272,18 +287,19 @@
 
 class Fleet(msgspec.Struct, eq=False):
     """
-    What the owner knows of the instances of workers.
+    The owner's view of the instances that workers run on.
 
-    :param rows: newest row of each instance.
-    :param listed_s: when the newest list was asked for.
-    :param in_flight: orders without an answer, by instance.
+    :param rows: latest listing of each instance.
+    :param listed_s: when the latest list was requested.
+    :param in_flight: orders without a response, by instance.
     :param retry_s: earliest time of another order, by instance.
-    :param draining: instances that take no new work, with the reason.
-    :param wave_of: the wave for which each is emptied.
-    :param pool_of: the pool to which each is moved.
-    :param down: instances that were ordered down and are not known to be back, since when.
-    :param rows_s: when the list that the rows are from was asked for.
-    :param next_order_s: earliest time of the next order, by the rate that the service takes.
+    :param draining: instances that get no new work, with the reason.
+    :param wave_of: wave for which each instance is drained.
+    :param pool_of: pool to which each instance is moved.
+    :param down: instances that were ordered down and are not known to be up again, with the time
+        since which this owner considers them down.
+    :param rows_s: when the list that `rows` comes from was requested.
+    :param next_order_s: earliest time of the next order, limited by the service's rate.
     """
 
     rows: dict[str, InstanceRow] = {}
@@ -301,9 +317,9 @@
 
 class StepAdvice(msgspec.Struct, eq=False):
     """
-    What the advice service said about a step.
+    Responses of the advice service for a step.
 
-    :param tickets: ticket and its time of expiry, by worker.
+    :param tickets: ticket and its expiry time, by worker.
     :param refused: workers that may not run it.
     """
 
@@ -315,15 +331,18 @@
 
 class Tail(msgspec.Struct, eq=False):
     """
-    Reading of the log.
+    State of reading the log.
 
-    :param has_caught_up: whether the log was read to its end since the book was begun.
-    :param last_success_s: when the newest answered read was sent.
-    :param readable_since_s: since when reads have not failed.
+    :param is_caught_up: whether the latest read reached the end of the log.
+    :param has_caught_up: whether the end of the log was reached since the replicated state was
+        created.
+    :param last_success_s: when the latest successful read was sent.
+    :param answered_s: when its response arrived.
+    :param readable_since_s: time since which no read has failed.
     :param owner_record_s: when a record of the owner was last read.
-    :param owner_gap_s: longest time between two reads with records of the owner, of late.
-    :param wait_s: how long the read under way may wait at the store.
-    :param store_delay_s: how long the store takes for an answer beyond that, of late.
+    :param owner_gap_s: decaying maximum of the time between two reads with records of the owner.
+    :param wait_s: how long the read in progress may wait at the store.
+    :param store_delay_s: decaying maximum of the store's response time beyond `wait_s`.
     """
 
     is_reading: bool = False
@@ -342,13 +361,14 @@
 
 class Ownership(msgspec.Struct, eq=False):
     """
-    Whether this instance owns the log.
+    State of this instance's ownership of the log.
 
-    :param epoch: epoch of this instance's claim, while it owns the log.
-    :param claimed_s: when it came to own the log.
-    :param confirmed_s: when the newest append that succeeded was sent.
+    :param epoch: epoch of this instance's latest ownership.
+    :param claimed_s: when it became the owner.
+    :param confirmed_s: when the latest successful append was sent.
     :param next_claim_s: earliest time of another claim.
-    :param refused_epoch: epoch that the store refused.
+    :param refused_epoch: highest epoch that the store has refused.
+    :param reload_wanted: whether the replicated state must be rebuilt from the store.
     """
 
     is_owner: bool = False
@@ -364,7 +384,10 @@
 
 class Subscription(msgspec.Struct, eq=False):
     """
-    Reading of records that others write.
+    State of polling records that others publish.
+
+    :param cursor: position of the next read, or ``None`` to read all records.
+    :param last_success_s: when the records were last read successfully.
     """
 
     cursor: int | None = None
@@ -375,11 +398,13 @@
 
 class Node(msgspec.Struct, eq=False):
     """
-    One instance.
+    The state of an instance.
 
-    :param silent_zones: availability zones whose workers seem to be cut off.
-    :param best_rates: highest progress of a run in percent a second, by job, occurrence and step.
-    :param process_start_s: when the process began.
+    :param silent_zones: availability zones whose workers seem to be unreachable.
+    :param best_rates: highest progress rate of a run in percent per second, by job, occurrence and
+        step.
+    :param process_start_s: when the process started.
+    :param out: effects of the event that is being reduced.
     """
 
     identity: Identity
@@ -415,7 +440,7 @@
 
 def emit(node: Node, effect: object) -> None:
     """
-    Add an effect to those of the event that is being reduced.
+    Add an effect to the result of the event that is being reduced.
 
     :param node: the instance.
     :param effect: the effect.
@@ -425,10 +450,10 @@
 
 def log_line(node: Node, action: str, **fields: Any) -> None:
     """
-    Add a line of the structured log.
+    Emit a line of the structured log.
 
     :param node: the instance.
-    :param action: what was decided or learnt.
-    :param fields: what decided it.
+    :param action: name of the event.
+    :param fields: fields of the line.
     """
     node.out.append(effects.WriteLine(action, fields))
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ownership.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ownership.py
@@ -44,7 +44,7 @@
 CLAIM_TIMEOUT_S = 1.5
 # Fraction by which workers' clocks may run slow; waits for the expiry of leases are extended by it.
 CLOCK_DRIFT = 0.021
-# Safety margin of a wait for the expiry of leases.
+# Safety margin added to every wait for the expiry of a lease.
 LEASE_MARGIN_S = 0.3
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_registry.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_registry.py
@@ -1,5 +1,5 @@
 """
-Follows the registry of workers, and notes when a worker's life has ended.
+Tracks the registry of workers and the incarnations of each worker.
 """
 
 from . import _ownership, effects, events
@@ -7,7 +7,8 @@
 from ._runs import lose_all, raise_token, runs_on
 from .model import WorkerEntry
 
-# How often entries of workers are read; a draining worker gets no work well before it leaves.
+# Poll interval of the registry; short enough that a draining worker gets no new work well before it
+# leaves.
 REGISTRY_INTERVAL_S = 0.25
 REGISTRY_WAIT_S = 0.5
 REGISTRY_RETRY_S = 0.2
@@ -15,7 +16,7 @@
 
 def read_registry(node: Node, at: Moment) -> None:
     """
-    Ask for the entries of workers, unless that is under way.
+    Request the entries of workers, unless a read is in progress or not due yet.
 
     :param node: the instance, which owns the log.
     :param at: the current time.
@@ -29,7 +30,7 @@
 
 def on_registry(node: Node, at: Moment, event: events.WorkersRead) -> None:
     """
-    Take entries of workers.
+    Update the known workers from entries of the registry.
 
     :param node: the instance.
     :param at: the current time.
@@ -55,11 +56,11 @@
 
 def on_registry_failed(node: Node, at: Moment, event: events.WorkersReadFailed) -> None:
     """
-    Take note that the registry can't be read.
+    Schedule the retry of a failed read of the registry.
 
     :param node: the instance.
     :param at: the current time.
-    :param event: why.
+    :param event: reason of the failure.
     """
     registry = node.registry
     registry.is_reading = False
@@ -108,12 +109,14 @@
 
 def end_incarnation(node: Node, at: Moment, worker: Worker, reason: str) -> None:
     """
-    Take note that a worker is gone, before its entry in the registry lapses.
+    Mark a worker's incarnation as ended before its entry in the registry expires.
+
+    The runs of the worker are recorded as lost.
 
     :param node: the instance.
     :param at: the current time.
     :param worker: the worker.
-    :param reason: why, for the log.
+    :param reason: reason for the structured log.
     """
     worker.has_ended = True
     worker.is_listed = False
@@ -121,6 +124,14 @@
 
 
 def reset_incarnation(node: Node, at: Moment, worker: Worker, incarnation: int) -> None:
+    """
+    Reset what is known of a worker that has restarted, and raise its fencing token.
+
+    :param node: the instance.
+    :param at: the current time.
+    :param worker: the worker.
+    :param incarnation: the new incarnation.
+    """
     log_line(
         node,
         "worker.restarted",
@@ -128,8 +139,8 @@
         former=worker.entry.incarnation,
         incarnation=incarnation,
     )
-    # What the former life ran is given up when the new one has answered: an order that was held up
-    # may have reached it before its token rose.
+    # The former incarnation's runs are only recorded as lost once the new one has responded: a
+    # delayed order may have reached the new one before its fencing token was raised.
     raise_token(worker)
     worker.orders.clear()
     worker.stops.clear()
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_snapshot.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_snapshot.py
@@ -14,8 +14,8 @@
 from ._replicated_state import InstanceOrder, Job, ReplicatedState
 from .model import JobSpec
 
-# Number of new records after which a snapshot is due. They amount to about 1.5 MB, which takes 2.5 s
-# over the slowest links observed, and half a second to apply.
+# Number of new records after which a snapshot is due. They amount to about 1.5 MB, which takes
+# 2.5 s over the slowest links observed, and half a second to apply.
 SNAPSHOT_INTERVAL_RECORDS = 20_000
 # Number of records before a snapshot that are kept for instances that are still reading them.
 RETAINED_RECORDS = 10_000
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/effects.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/effects.py
@@ -1,5 +1,5 @@
 """
-What an instance does, as the reducer of jobs asks for it.
+The effects that the job reducer requests and the instance carries out.
 """
 
 from typing import Any, NamedTuple
@@ -11,10 +11,10 @@
     """
     Answer a caller.
 
-    :param outcome: one of the names below.
+    :param outcome: one of the constants below.
     :param detail: state of the job, or the reason of a refusal.
-    :param number: jobs that wait, for a count.
-    :param retry_after_s: seconds after which a refused call may be tried again.
+    :param number: number of queued jobs, in response to a count.
+    :param retry_after_s: seconds after which a refused call may be retried.
     """
 
     token: int
@@ -40,7 +40,7 @@
     """
     Read the job log.
 
-    :param wait_s: how long to wait for a record.
+    :param wait_s: maximum time to wait for a new record.
     """
 
     offset: int
@@ -49,13 +49,13 @@
 
 class ReadSnapshot(NamedTuple):
     """
-    Read the newest snapshot of the book.
+    Read the latest snapshot of the replicated state.
     """
 
 
 class WriteSnapshot(NamedTuple):
     """
-    Store a snapshot of the book.
+    Store a snapshot of the replicated state.
     """
 
     offset: int
@@ -64,7 +64,7 @@
 
 class TrimLog(NamedTuple):
     """
-    Drop the records of the log before an offset.
+    Remove the records of the log before an offset.
     """
 
     before: int
@@ -74,8 +74,9 @@
     """
     Append to the job log.
 
-    :param channel: whose append it is; named in the outcome.
-    :param producer: together with epoch and number makes a repeat harmless.
+    :param channel: channel of the append, which its outcome is returned with.
+    :param producer: together with epoch and sequence number makes retries idempotent; empty if that
+        isn't needed.
     """
 
     channel: str
@@ -87,11 +88,11 @@
 
 class Forward(NamedTuple):
     """
-    Send records of callers to the owner, which appends them.
+    Forward callers' records to the owner, which appends them.
 
-    :param address: where the owner takes them.
-    :param epoch: its epoch.
-    :param seq: number of the batch, named in the outcome.
+    :param address: address at which the owner accepts them.
+    :param epoch: epoch of the owner.
+    :param seq: sequence number of the batch, which its outcome is returned with.
     """
 
     address: str
@@ -103,9 +104,9 @@
 
 class AnswerPeer(NamedTuple):
     """
-    Say what became of the records that another instance sent.
+    Answer another instance with the outcome of the records that it forwarded.
 
-    :param outcome: `OK`, `REFUSED` (certainly not appended) or `UNKNOWN`, as in `events`.
+    :param outcome: `OK`, `REFUSED` (definitely not appended) or `UNKNOWN`, as in `events`.
     """
 
     token: int
@@ -114,9 +115,9 @@
 
 class ReadOperator(NamedTuple):
     """
-    Read what the operator publishes.
+    Read the operator's publications.
 
-    :param cursor: where to go on, or ``None`` to read all.
+    :param cursor: position to continue from, or ``None`` to read all records.
     """
 
     cursor: int | None
@@ -127,7 +128,7 @@
     """
     Read the registry of workers.
 
-    :param cursor: where to go on, or ``None`` to read all.
+    :param cursor: position to continue from, or ``None`` to read all entries.
     """
 
     cursor: int | None
@@ -136,12 +137,13 @@
 
 class Hold(NamedTuple):
     """
-    Renew a worker's lease and ask what it runs.
+    Renew a worker's lease and request the list of its runs.
 
     :param token: fencing token.
-    :param acked: newest end that is noted in the log, or 0 when the worker knows.
-    :param lease_ms: end of the lease on the worker's clock, or ``None`` to leave it.
-    :param wait_s: how long the worker waits for an end.
+    :param acked: number of the latest end that is committed to the log, or 0 if the worker has
+        already been notified of it.
+    :param lease_ms: expiry of the lease on the worker's clock, or ``None`` to leave it unchanged.
+    :param wait_s: how long the worker waits for a run to end before it responds.
     """
 
     worker: str
@@ -156,7 +158,10 @@
     """
     Order a worker to start a task.
 
-    :param lease_ms: time on the worker's clock from which the order is void.
+    :param lease_ms: time on the worker's clock at which the order expires.
+    :param token: fencing token.
+    :param checkpoint: checkpoint to resume from, or empty.
+    :param ticket: ticket of the advice service, or empty.
     """
 
     worker: str
@@ -184,7 +189,7 @@
 
 class PaceTask(NamedTuple):
     """
-    Order a worker to let a task work at a part of its speed.
+    Order a worker to throttle a task to a percentage of its speed.
 
     :param percent: 0 to 100.
     """
@@ -199,7 +204,7 @@
 
 class Advise(NamedTuple):
     """
-    Ask which workers may run a step.
+    Ask the advice service which workers may run a step.
     """
 
     job: str
@@ -210,7 +215,7 @@
 
 class ListInstances(NamedTuple):
     """
-    Ask the machine service for its instances.
+    Request the list of instances from the machine service.
     """
 
 
@@ -219,7 +224,7 @@
     Order the machine service to maintain or to move an instance.
 
     :param wave: number of the wave, or -1 for a move.
-    :param pool: the new pool of a move, else empty.
+    :param pool: target pool of a move, otherwise empty.
     """
 
     instance: str
@@ -242,6 +247,8 @@
 class WriteLine(NamedTuple):
     """
     Write a line of the structured log.
+
+    :param action: name of the event.
     """
 
     action: str
@@ -250,5 +257,5 @@
 
 class Exit(NamedTuple):
     """
-    End the process.
+    Exit the process.
     """
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/events.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/events.py
@@ -1,5 +1,5 @@
 """
-What happens to an instance, as the reducer of jobs is told.
+The events that the job reducer handles.
 """
 
 from typing import NamedTuple
@@ -11,7 +11,8 @@
 CANCEL = "cancel"
 COUNT = "count"
 
-# How an append or another call ended.
+# Outcomes of appends and other calls: `REFUSED` and `UNSENT` calls definitely had no effect, those
+# with an `UNKNOWN` outcome may have had one, `FENCED` appends carried an outdated epoch.
 OK = "ok"
 REFUSED = "refused"
 UNKNOWN = "unknown"
@@ -27,19 +28,19 @@
 
 class StopAsked(NamedTuple):
     """
-    The process is asked to end.
+    The process was asked to stop.
     """
 
 
 class CallReceived(NamedTuple):
     """
-    A caller's request.
+    A caller sent a request.
 
-    :param token: names the exchange.
+    :param token: identifies the request; the reply carries the same token.
     :param kind: one of `SUBMIT`, `LOOK_UP`, `CANCEL` and `COUNT`.
-    :param key: the key that came with it, or empty.
-    :param deadline_s: seconds that the caller waits.
-    :param spec: the job of a submission, or ``None`` when its body is malformed.
+    :param key: key of the request, or empty.
+    :param deadline_s: seconds that the caller waits for a response.
+    :param spec: the submitted job, or ``None`` if there is none or its body is malformed.
     """
 
     token: int
@@ -53,7 +54,7 @@
 
 class CallAbandoned(NamedTuple):
     """
-    A caller has gone.
+    A caller disconnected before it was answered.
     """
 
     token: int
@@ -61,12 +62,12 @@
 
 class LogRead(NamedTuple):
     """
-    A part of the log.
+    A part of the log was read.
 
     :param offset: offset of the first record.
-    :param records: the records as stored.
-    :param end: offset behind the log's newest record.
-    :param sent_s: clock when the read was sent.
+    :param records: the encoded records.
+    :param end: offset after the last record of the log.
+    :param sent_s: when the read was sent, by this instance's clock.
     """
 
     offset: int
@@ -77,9 +78,9 @@
 
 class LogGap(NamedTuple):
     """
-    The log no longer holds the records that were asked for.
+    The log no longer holds the requested records.
 
-    :param first: oldest offset that it holds.
+    :param first: oldest offset that the log holds.
     """
 
     first: int
@@ -87,7 +88,7 @@
 
 class LogReadFailed(NamedTuple):
     """
-    A read of the log has failed.
+    A read of the log failed.
     """
 
     reason: str
@@ -95,9 +96,9 @@
 
 class SnapshotRead(NamedTuple):
     """
-    The newest snapshot of the book.
+    The latest snapshot of the replicated state was read.
 
-    :param data: its encoding, or ``None`` when there is none.
+    :param data: the encoded snapshot, or ``None`` if there is none.
     """
 
     data: bytes | None
@@ -105,11 +106,12 @@
 
 class Appended(NamedTuple):
     """
-    An append to the log has ended.
+    An append to the log completed.
 
-    :param channel: whose append it was.
-    :param seq: its number.
-    :param outcome: `OK`, `REFUSED` (not done), `UNKNOWN` or `FENCED`.
+    :param channel: channel of the append.
+    :param seq: sequence number of the append.
+    :param outcome: `OK`, `REFUSED` (definitely not appended), `UNKNOWN` or `FENCED`.
+    :param detail: details for the log.
     """
 
     channel: str
@@ -120,10 +122,11 @@
 
 class PeerRecords(NamedTuple):
     """
-    Another instance sends records of its callers to the owner.
+    Another instance forwarded its callers' records to the owner.
 
-    :param token: names the exchange.
-    :param epoch: the owner's epoch as the sender knows it.
+    :param token: identifies the request; the answer carries the same token.
+    :param epoch: the owner's epoch that the sender knows.
+    :param records: the encoded records.
     """
 
     token: int
@@ -133,12 +136,12 @@
 
 class OperatorRead(NamedTuple):
     """
-    What the operator has published.
+    The operator's publications were read.
 
-    :param cursor: where to go on reading.
+    :param cursor: position of the next read.
     :param config: a new configuration, or ``None``.
     :param waves: new maintenance waves.
-    :param sent_s: clock when the read was sent.
+    :param sent_s: when the read was sent, by this instance's clock.
     """
 
     cursor: int
@@ -149,9 +152,10 @@
 
 class OperatorReadFailed(NamedTuple):
     """
-    What the operator has published could not be read.
+    The operator's publications couldn't be read.
 
-    :param restart: whether the records were dropped, so that all must be read again.
+    :param restart: whether the store has dropped the records at the cursor, so that all records
+        must be read again.
     """
 
     reason: str
@@ -160,11 +164,11 @@
 
 class WorkersRead(NamedTuple):
     """
-    Entries of the registry of workers.
+    Entries of the registry of workers were read.
 
-    :param cursor: where to go on reading.
-    :param is_full: whether the entries are all that there are.
-    :param entries: the newest entry of each worker, ``None`` for one that is gone or unreadable.
+    :param cursor: position of the next read.
+    :param is_full: whether these are the entries of all workers.
+    :param entries: latest entry by worker; ``None`` for a worker whose entry is gone or unreadable.
     """
 
     cursor: int
@@ -174,7 +178,9 @@
 
 class WorkersReadFailed(NamedTuple):
     """
-    The registry could not be read.
+    The registry couldn't be read.
+
+    :param restart: whether all entries must be read again.
     """
 
     reason: str
@@ -183,11 +189,13 @@
 
 class HoldAnswered(NamedTuple):
     """
-    A worker has renewed its lease and said what it runs.
+    A worker renewed its lease and listed its runs.
 
-    :param token: token of the call.
-    :param sent_s: clock when the call was sent.
-    :param clock_ms: the worker's steady clock.
+    :param token: fencing token of the call.
+    :param sent_s: when the call was sent, by this instance's clock.
+    :param clock_ms: the worker's monotonic clock.
+    :param runs: the running runs.
+    :param ends: the ended runs that aren't acknowledged yet.
     """
 
     worker: str
@@ -201,10 +209,10 @@
 
 class HoldFailed(NamedTuple):
     """
-    A worker did not answer, or refused.
+    A worker didn't respond to the renewal of its lease, or refused it.
 
     :param reason: such as ``timeout``, ``fence`` or ``other_worker``.
-    :param token: token of the call.
+    :param token: fencing token of the call.
     """
 
     worker: str
@@ -214,10 +222,11 @@
 
 class StartAnswered(NamedTuple):
     """
-    An order to start a task has ended.
+    An order to start a task completed.
 
     :param outcome: `OK`, `REFUSED`, `UNKNOWN` or `UNSENT`.
-    :param reason: why it was refused.
+    :param reason: reason of a refusal.
+    :param clock_ms: the worker's monotonic clock.
     """
 
     worker: str
@@ -230,7 +239,7 @@
 
 class StopAnswered(NamedTuple):
     """
-    An order to stop a task has ended.
+    An order to stop a task completed.
 
     :param outcome: `OK`, `REFUSED`, `UNKNOWN` or `UNSENT`.
     """
@@ -243,7 +252,9 @@
 
 class PaceAnswered(NamedTuple):
     """
-    An order to pace a task has ended.
+    An order to throttle a task completed.
+
+    :param percent: percentage of its speed that was ordered.
     """
 
     worker: str
@@ -255,10 +266,11 @@
 
 class AdviceAnswered(NamedTuple):
     """
-    The advice service has answered, or not.
+    The advice service responded, or failed to.
 
-    :param tickets: ticket by worker that may run the step; ``None`` when it did not answer.
-    :param valid_s: how long the tickets may be used.
+    :param asked: workers that the request was about.
+    :param tickets: ticket by worker that may run the step; ``None`` if there was no response.
+    :param valid_s: validity of the tickets.
     """
 
     job: str
@@ -271,10 +283,10 @@
 
 class InstancesListed(NamedTuple):
     """
-    The machine service has listed its instances, or not.
+    The machine service listed its instances, or failed to.
 
-    :param rows: the instances, or ``None`` when it did not answer.
-    :param sent_s: clock when the call was sent.
+    :param rows: the instances, or ``None`` if there was no response.
+    :param sent_s: when the call was sent, by this instance's clock.
     """
 
     rows: tuple[InstanceRow, ...] | None
@@ -283,7 +295,7 @@
 
 class InstanceOrderAnswered(NamedTuple):
     """
-    An order for an instance has ended.
+    An order for an instance completed.
 
     :param outcome: `OK`, `REFUSED`, `UNKNOWN` or `UNSENT`.
     """
@@ -297,7 +309,7 @@
 
 class WaveStatusAnswered(NamedTuple):
     """
-    The state of a wave has been published, or not.
+    The attempt to publish the state of a wave completed.
     """
 
     wave: int
@@ -307,7 +319,7 @@
 
 class SnapshotWritten(NamedTuple):
     """
-    A snapshot has been stored, or not.
+    The attempt to store a snapshot completed.
     """
 
     offset: int
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/model.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/model.py
@@ -1,5 +1,5 @@
 """
-Jobs, workers and configuration as the scheduling decisions see them.
+The types of jobs, workers and configuration that scheduling decisions are based on.
 """
 
 from typing import NamedTuple
@@ -9,9 +9,9 @@
 
 class Resources(NamedTuple):
     """
-    Resources of a worker, or those that a task needs.
+    Resources of a worker, or the resources that a task needs.
 
-    :param millicores: processor, in thousandths of a core.
+    :param millicores: CPU in thousandths of a core.
     :param memory_mb: memory in megabytes.
     :param accelerators: whole accelerators.
     """
@@ -22,27 +22,27 @@
 
     def plus(self, other: "Resources") -> "Resources":
         """
-        Add.
+        Return the sum of two amounts.
 
-        :param other: another room.
+        :param other: the amount to add.
         :returns: the sum.
         """
         return Resources(self[0] + other[0], self[1] + other[1], self[2] + other[2])
 
     def minus(self, other: "Resources") -> "Resources":
         """
-        Subtract.
+        Return the difference of two amounts.
 
-        :param other: another room.
+        :param other: the amount to subtract.
         :returns: the difference, which may be negative.
         """
         return Resources(self[0] - other[0], self[1] - other[1], self[2] - other[2])
 
     def fits(self, free: "Resources") -> bool:
         """
-        Return whether this is no more than what is free.
+        Return whether this amount doesn't exceed the free resources.
 
-        :param free: what is free.
+        :param free: the free resources.
         :returns: whether it fits.
         """
         return self[0] <= free[0] and self[1] <= free[1] and self[2] <= free[2]
@@ -53,18 +53,21 @@
 
 class Step(msgspec.Struct, frozen=True, array_like=True):
     """
-    One step of a job: tasks that need the same.
+    A step of a job: a number of tasks with equal requirements.
 
-    :param after: numbers of earlier steps that must be done first.
+    :param need: requested millicores, memory in megabytes and accelerators of each task.
     :param estimate_ms: declared duration of a task.
+    :param after: numbers of earlier steps that must be done first.
+    :param gang: whether the tasks are started together (gang scheduling).
     :param label: label that a worker must have, or empty.
-    :param data_rack: rack where the data lies, or empty.
-    :param max_per_worker: most tasks of an occurrence on one worker; 0 for no bound.
-    :param is_long_running: the tasks run until the job is cancelled.
-    :param is_backfill: the tasks use processor time that others leave unused.
-    :param target_ms: bound on the response time of tasks that serve; 0 for none.
-    :param max_unavailable: tasks that planned work may take away at the same time.
-    :param image: what the tasks run; empty when unknown.
+    :param data_rack: rack that holds the data, or empty.
+    :param max_per_worker: maximum number of tasks of an occurrence on one worker; 0 for no limit.
+    :param is_long_running: whether the tasks run until the job is cancelled.
+    :param is_checkpointing: whether the tasks write checkpoints.
+    :param is_backfill: whether the tasks use CPU time that others leave unused.
+    :param target_ms: objective for the response time of serving tasks; 0 for none.
+    :param max_unavailable: number of tasks that planned work may make unavailable at the same time.
+    :param image: image that the tasks run; empty if unknown.
     """
 
     count: int
@@ -87,7 +90,7 @@
     @property
     def resources(self) -> Resources:
         """
-        What a task takes up on a worker; backfill takes no processor room.
+        Resources that a task takes up on a worker; backfill takes up no CPU.
         """
         millicores, memory_mb, accelerators = self.need
         return Resources(0 if self.is_backfill else millicores, memory_mb, accelerators)
@@ -95,12 +98,12 @@
 
 class JobSpec(msgspec.Struct, frozen=True, array_like=True):
     """
-    What a caller hands in.
+    The specification of a job that a caller submits.
 
-    :param payload: passed to every task as it is.
-    :param repeats: times that the steps run; 0 for once, at once.
+    :param payload: passed unchanged to every task.
+    :param repeats: number of occurrences; 0 for a single one that starts immediately.
     :param start_at_ms: Unix time of the first occurrence.
-    :param interval_ms: time from one occurrence to the next.
+    :param interval_ms: interval between occurrences.
     """
 
     payload: str
@@ -112,9 +115,9 @@
 
 class TaskKey(NamedTuple):
     """
-    Names one task of a job.
+    The key of a task.
 
-    :param number: its number in the step, from 0.
+    :param number: number of the task in its step, from 0.
     """
 
     job: str
@@ -127,13 +130,13 @@
     """
     A queue of the configuration.
 
-    :param priority: 0 comes first.
-    :param max_attempts: failed runs after which a task fails its job.
-    :param slack_factor: multiple of a job's longest chain that its objective allows.
-    :param target_ms: time that the objective allows beyond that.
-    :param is_open: calls need no key.
-    :param has_advice: the queue's starts need a ticket of the advice service.
-    :param ticket_valid_ms: how long a ticket may be used.
+    :param priority: priority of the queue; 0 is the highest.
+    :param max_attempts: number of failed runs of a task after which its job fails.
+    :param slack_factor: multiple of a job's critical path that its objective allows.
+    :param target_ms: additional time that the objective allows.
+    :param is_open: whether calls need no key.
+    :param has_advice: whether starts need a ticket of the advice service.
+    :param ticket_valid_ms: validity of a ticket.
     """
 
     name: str
@@ -153,8 +156,9 @@
     """
     A workspace of the configuration.
 
-    :param weight: its share when the fleet is full.
-    :param limit: what it may have running over the fleet; 0 in a part means no limit.
+    :param weight: weight of its fair share when the fleet is full.
+    :param limit: resources that its running tasks may use across the fleet; 0 means no limit for
+        the respective resource.
     """
 
     name: str
@@ -167,8 +171,8 @@
     """
     A pool of workers.
 
-    :param rejects_overload: its workers reject what does not fit.
-    :param is_standby: its instances are off.
+    :param rejects_overload: whether its workers reject tasks that don't fit.
+    :param is_standby: whether its instances are off.
     """
 
     name: str
@@ -193,11 +197,11 @@
 
 class Wave(NamedTuple):
     """
-    Maintenance that the operator asks for.
+    A maintenance wave that the operator requests.
 
-    :param instances: instances that are to be maintained.
-    :param duration_s: seconds in which the wave should be done.
-    :param max_down: most of them that may be down for it at once.
+    :param instances: instances to maintain.
+    :param duration_s: time in which the wave should be completed.
+    :param max_down: maximum number of its instances that may be down at the same time.
     """
 
     number: int
@@ -208,11 +212,11 @@
 
 class WorkerEntry(NamedTuple):
     """
-    What a worker last said of itself in the registry.
+    The entry of a worker in the registry.
 
-    :param incarnation: Unix milliseconds of its start.
+    :param incarnation: Unix time in milliseconds at which the worker started.
     :param instance: the instance that it runs on.
-    :param clock_ms: its steady clock when it wrote the entry.
+    :param clock_ms: its monotonic clock when it wrote the entry.
     """
 
     id: str
@@ -233,8 +237,9 @@
     """
     A run that a worker lists as running.
 
-    :param percent: progress; for tasks that last, 100 once they are at work.
-    :param usage: for serving tasks the tail of response times in milliseconds, else millicores.
+    :param checkpoint: latest checkpoint, or empty.
+    :param percent: progress; 100 for long-running tasks that have started to work.
+    :param usage: tail latency in milliseconds for serving tasks, otherwise used millicores.
     """
 
     key: TaskKey
@@ -246,11 +251,11 @@
 
 class EndRow(NamedTuple):
     """
-    An end that a worker lists.
+    A run that a worker lists as ended.
 
-    :param number: its number in this incarnation of the worker.
-    :param end_state: how it ended, such as ``done`` or ``failed``.
-    :param checkpoint: its last checkpoint, or empty.
+    :param number: number of the end, counted by each incarnation of the worker.
+    :param end_state: how the run ended, such as ``done`` or ``failed``.
+    :param checkpoint: last checkpoint of the run, or empty.
     """
 
     number: int
@@ -262,10 +267,10 @@
 
 class InstanceRow(NamedTuple):
     """
-    An instance as the machine service lists it.
+    An instance as listed by the machine service.
 
     :param state: ``up``, ``moving``, ``upkeep`` or ``down``.
-    :param worker: id of the worker on it, or empty.
+    :param worker: id of the worker that runs on it, or empty.
     """
 
     instance: str
@@ -279,19 +284,20 @@
 
 class Bounds(NamedTuple):
     """
-    Times that the platform promises or asks for.
+    Time limits and rates that the platform guarantees or requires.
 
-    :param max_lease_s: longest lease of a worker.
-    :param config_apply_s: time in which a configuration must be in force.
-    :param config_stale_s: age of the configuration at which keyed calls are refused.
+    :param max_lease_s: maximum duration of a worker's lease.
+    :param config_apply_s: time in which a new configuration must be in force.
+    :param config_stale_s: age of the configuration from which calls are refused, because a withdrawn
+        key must stop working within this time.
     :param grace_s: time from a request to stop until the process is killed.
-    :param stop_s: longest time that a stop of a task takes.
-    :param order_lease_s: time between orders of two holders for one instance.
+    :param stop_s: maximum time that it takes to stop a task.
+    :param order_lease_s: minimum time between orders of two owners for the same instance.
     :param early_s: how early an occurrence may start.
     :param status_s: how long an ended job can be looked up.
-    :param move_s: time that a move of an instance to another pool takes.
-    :param upkeep_s: time that the maintenance of an instance takes.
-    :param orders_per_s: orders for instances that the machine service takes in a second.
+    :param move_s: duration of an instance's move to another pool.
+    :param upkeep_s: duration of an instance's maintenance.
+    :param orders_per_s: rate of orders for instances that the machine service accepts.
     """
 
     max_lease_s: float
