--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_node.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_node.py
@@ -276,13 +276,13 @@
 
     :param seen_s: when this instance read the wave.
     :param published: state that was last published.
-    :param asked_s: earliest time of the next attempt to publish its state.
+    :param next_publish_s: earliest time of the next attempt to publish its state.
     """
 
     wave: Wave
     seen_s: float
     published: str = ""
-    asked_s: float = 0.0
+    next_publish_s: float = 0.0
 
 
 class Fleet(msgspec.Struct, eq=False):
@@ -428,7 +428,7 @@
     avoid: dict[TaskKey, set[str]] = {}
     process_start_s: float = -1.0
     is_stopping: bool = False
-    stop_asked_s: float = 0.0
+    stop_next_publish_s: float = 0.0
     plan_due: bool = False
     next_plan_s: float = 0.0
     forget_s: float = 0.0
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_waves.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_waves.py
@@ -35,9 +35,9 @@
 def _publish(node: Node, at: Moment, state: WaveState) -> None:
     is_closed = state.wave.number in node.replicated.closed_waves
     wanted = "completed" if is_closed else "running"
-    if state.published == wanted or at.now_s < state.asked_s:
+    if state.published == wanted or at.now_s < state.next_publish_s:
         return
-    state.asked_s = at.now_s + ORDER_RETRY_S
+    state.next_publish_s = at.now_s + ORDER_RETRY_S
     emit(node, effects.PublishWave(state.wave.number, wanted))
 
 
