--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/model.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/model.py
@@ -288,8 +288,8 @@
 
     :param max_lease_s: maximum duration of a worker's lease.
     :param config_apply_s: time in which a new configuration must be in force.
-    :param config_stale_s: age of the configuration from which calls are refused, because a withdrawn
-        key must stop working within this time.
+    :param config_stale_s: age of the configuration from which calls are refused, because a
+        withdrawn key must stop working within this time.
     :param grace_s: time from a request to stop until the process is killed.
     :param stop_s: maximum time that it takes to stop a task.
     :param order_lease_s: minimum time between orders of two owners for the same instance.
