--- a/packages/eelgrassdrum-core/tests/test_jobs_forwarding.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_forwarding.py
@@ -1,5 +1,5 @@
 """
-Records of callers go through the owner, and to the store where no owner takes them.
+Forwarding of callers' records to the owner, and direct appends where no owner accepts them.
 """
 
 from eelgrassdrum_core.jobs import Identity, effects, events, model, new_node
@@ -22,7 +22,7 @@
 
 def make_reader():
     """
-    Give an instance that has read the claim of another one.
+    Build an instance that has read the claim of another one.
     """
     node = new_node(Identity("reader", WALL_MS, "zone", address="reader:1"), BOUNDS)
     feed(node, START_S, events.OperatorRead(1, make_owner_config(), (), START_S))
@@ -34,7 +34,7 @@
 
 def make_owner():
     """
-    Give an instance that owns the log.
+    Build an instance that owns the log.
     """
     return owner_of([worker_entry("w")])
 
@@ -44,14 +44,14 @@
 
 def of_type(produced, kind):
     """
-    Give the effects of a type.
+    Return the effects of a type.
     """
     return [item for item in produced if isinstance(item, kind)]
 
 
 def submit(node, now_s=CALL_S, token=1, job="job"):
     """
-    Hand a job in, and give the effects.
+    Submit a job and return the effects.
     """
     path = f"/usual/{job}"
     call = events.CallReceived(token, events.SUBMIT, "host", path, "key", 3.0, SPEC)
@@ -60,14 +60,14 @@
 
 def submission(job="job"):
     """
-    Give the record of a submission, as another instance sends it.
+    Return the encoded record of a submission, as forwarded by another instance.
     """
     return tuple(encode_records([Submitted(job, "usual", "service", "a", SPEC, WALL_MS)]))
 
 
 def test_a_submission_goes_to_the_owner_and_is_accepted_by_its_answer(reader):
     """
-    An instance that does not own the log hands a submission to the owner, and appends nothing.
+    An instance that doesn't own the log forwards a submission to the owner and appends nothing.
     """
     produced = submit(reader)
     (forward,) = of_type(produced, effects.Forward)
@@ -79,7 +79,7 @@
 
 def test_an_owner_that_refuses_is_passed_over(reader):
     """
-    When the owner does not take records, the instance appends them itself, and refuses nobody yet.
+    If the owner refuses records, the instance appends them itself and refuses no caller yet.
     """
     (forward,) = of_type(submit(reader), effects.Forward)
     refused = events.Appended("intake", forward.seq, events.REFUSED)
@@ -91,7 +91,7 @@
 
 def test_no_caller_is_refused_whose_record_the_owner_may_have_appended(reader):
     """
-    An owner without an answer may have appended the record, so its caller is told so at the end.
+    An owner that doesn't respond may have appended the record, so the outcome is uncertain.
     """
     (forward,) = of_type(submit(reader), effects.Forward)
     unknown = events.Appended("intake", forward.seq, events.UNKNOWN)
@@ -104,7 +104,7 @@
 
 def test_a_new_owner_is_given_what_the_former_one_did_not_answer(reader):
     """
-    A claim that is read sends the batch on to the new owner at once.
+    When an instance reads a new claim, it forwards its pending batch to the new owner immediately.
     """
     submit(reader)
     claim = tuple(encode_records([Claimed(8, "other", 1, "other:1")]))
@@ -115,7 +115,7 @@
 
 def test_the_owner_appends_what_others_send_with_its_own_records(owner):
     """
-    Records of another instance are in the owner's next append, and are answered by its outcome.
+    The owner's next append contains another instance's records, which get the append's outcome.
     """
     now_s = START_S + 2.5
     commit(owner, now_s)
@@ -129,7 +129,7 @@
 
 def test_records_for_a_former_owner_are_refused(owner):
     """
-    Records that name another epoch are not taken.
+    The owner refuses records that are addressed to another epoch.
     """
     produced = feed(owner, START_S + 2.5, events.PeerRecords(5, 9, submission()))
     assert of_type(produced, effects.AnswerPeer) == [effects.AnswerPeer(5, events.REFUSED)]
@@ -137,7 +137,7 @@
 
 def test_only_records_of_callers_are_taken_from_others(owner):
     """
-    No instance can have the owner append a record that is the owner's.
+    The owner refuses forwarded records of types that only an owner may append.
     """
     claim = tuple(encode_records([Claimed(99, "evil", 1)]))
     produced = feed(owner, START_S + 2.5, events.PeerRecords(5, 1, claim))
@@ -146,7 +146,7 @@
 
 def test_a_store_that_refuses_gives_records_back_and_keeps_the_owners_own(owner):
     """
-    Records that the store certainly has not taken are refused; the owner's own are tried again.
+    If the store refuses an append, callers' records are refused and the owner's own are retried.
     """
     now_s = START_S + 2.5
     commit(owner, now_s)
@@ -162,7 +162,7 @@
 
 def test_an_owner_that_loses_the_log_says_what_is_certain(owner):
     """
-    What was on its way to the store may stand there; what was not sent does not.
+    An owner that is fenced reports sent records as unknown and unsent ones as refused.
     """
     now_s = START_S + 2.5
     commit(owner, now_s)
--- a/packages/eelgrassdrum-core/tests/test_jobs_intake.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_intake.py
@@ -1,5 +1,5 @@
 """
-What callers are answered, and when.
+Responses to callers' requests and their timing.
 """
 
 from eelgrassdrum_core.jobs import Identity, Moment, effects, events, model, new_node, reduce
@@ -12,7 +12,7 @@
 
 def make_config(version=1, keys=("key",)):
     """
-    Give a configuration with a keyed queue, a nested one and an open one.
+    Build a configuration with a keyed queue, a nested one and an open one.
     """
 
     def queue(name, prefix, is_open=False):
@@ -31,7 +31,7 @@
 
 def ready_node():
     """
-    Give an instance that has a configuration and has read an empty log.
+    Build an instance that has a configuration and has read an empty log.
     """
     node = new_node(Identity("entry", WALL_MS, "zone"), BOUNDS)
     feed(node, 0.0, events.OperatorRead(1, make_config(), (), 0.0))
@@ -45,35 +45,35 @@
 
 def feed(node, now_s, event):
     """
-    Give an event to an instance.
+    Apply an event to an instance and return the effects.
     """
     return reduce(node, Moment(now_s, WALL_MS + round(now_s * 1000)), event)
 
 
 def call(kind, path="/q/job1", key="key", token=1, spec=SPEC, host="host"):
     """
-    Give a caller's request.
+    Build a caller's request.
     """
     return events.CallReceived(token, kind, host, path, key, 3.0, spec)
 
 
 def of_type(produced, kind):
     """
-    Give the effects of a type.
+    Return the effects of a type.
     """
     return [effect for effect in produced if isinstance(effect, kind)]
 
 
 def replies(produced):
     """
-    Give the outcomes of the answers among effects.
+    Return the outcomes of the replies among effects.
     """
     return [effect.outcome for effect in of_type(produced, effects.Reply)]
 
 
 def test_a_job_is_accepted_once_it_stands_in_the_log(node):
     """
-    A submission is answered when its append has succeeded, and not before.
+    A submission is accepted only once its append has succeeded.
     """
     produced = feed(node, 0.1, call(events.SUBMIT))
     (append,) = of_type(produced, effects.Append)
@@ -85,7 +85,7 @@
 
 def test_a_repeat_of_a_known_job_is_accepted_without_a_record(node):
     """
-    A repeat of an id that stands in the log is accepted at once.
+    A repeated submission of a job that is in the log is accepted immediately.
     """
     record = Submitted("job1", "q", "service", "a", SPEC, WALL_MS)
     feed(node, 0.1, events.LogRead(0, tuple(encode_records([record])), 1, 0.1))
@@ -96,7 +96,7 @@
 
 def test_the_longest_prefix_of_the_host_selects_the_queue(node):
     """
-    Of several prefixes that fit, the longest decides, and another host has no queue.
+    The longest of several matching prefixes selects the queue, and an unknown host has none.
     """
     (append,) = of_type(feed(node, 0.1, call(events.SUBMIT, "/q/deep/j")), effects.Append)
     assert decode_record(append.records[0]).queue == "deep"
@@ -106,7 +106,7 @@
 
 def test_a_key_that_is_not_known_is_refused_but_on_open_queues(node):
     """
-    A keyed queue takes only known keys; an open one takes any.
+    A keyed queue only accepts known keys; an open queue accepts calls without a key.
     """
     assert replies(feed(node, 0.1, call(events.SUBMIT, key="no"))) == [effects.UNKNOWN_KEY]
     produced = feed(node, 0.1, call(events.SUBMIT, "/open/j", key="", token=2))
@@ -115,14 +115,14 @@
 
 def test_a_malformed_job_is_refused(node):
     """
-    A submission without a readable job is refused as malformed.
+    A submission whose job can't be decoded is refused as malformed.
     """
     assert replies(feed(node, 0.1, call(events.SUBMIT, spec=None))) == [effects.MALFORMED]
 
 
 def test_a_store_that_refuses_leads_to_a_refusal_with_a_time(node):
     """
-    A job that was certainly not stored is refused at once, and the caller told when to come back.
+    A job that was definitely not stored is refused immediately, with a retry delay.
     """
     (append,) = of_type(feed(node, 0.1, call(events.SUBMIT)), effects.Append)
     produced = feed(node, 0.4, events.Appended(append.channel, append.seq, events.REFUSED))
@@ -133,7 +133,7 @@
 
 def test_the_time_to_come_back_grows_with_the_outage(node):
     """
-    The longer the store has been away, the later callers are told to come back, up to a bound.
+    The retry delay grows with the duration of the store's outage, up to a limit.
     """
     times = []
     for now_s in (1.0, 3.0, 20.0):
@@ -149,7 +149,7 @@
 
 def test_a_job_that_may_be_stored_is_never_refused(node):
     """
-    After an append without an answer the caller hears that the outcome is uncertain.
+    After an append without a response, the caller is told that the outcome is uncertain.
     """
     (append,) = of_type(feed(node, 0.1, call(events.SUBMIT)), effects.Append)
     feed(node, 1.0, events.Appended(append.channel, append.seq, events.UNKNOWN))
@@ -159,7 +159,7 @@
 
 def test_a_cancel_that_overtakes_its_submission_holds(node):
     """
-    A job whose cancel stands in the log before it begins cancelled.
+    A job whose cancellation precedes its submission in the log is cancelled from the start.
     """
     records = [
         Cancelled("job1", WALL_MS),
@@ -171,7 +171,7 @@
 
 def test_a_cancel_of_no_job_is_answered_once_the_log_was_read(node):
     """
-    Whether a job exists is decided by the log as of the cancel.
+    Whether a cancelled job exists is decided by the log up to the cancellation.
     """
     (append,) = of_type(feed(node, 0.1, call(events.CANCEL)), effects.Append)
     produced = feed(node, 0.2, events.Appended(append.channel, append.seq, events.OK))
@@ -182,7 +182,7 @@
 
 def test_no_job_is_denied_on_old_knowledge(node):
     """
-    An instance that has not read the log lately does not say that a job does not exist.
+    An instance that hasn't read the log recently doesn't report that a job doesn't exist.
     """
     node.operator.last_success_s = 4.0
     assert replies(feed(node, 4.0, call(events.LOOK_UP))) == [effects.UNAVAILABLE]
@@ -192,14 +192,14 @@
 
 def test_keys_are_not_taken_on_an_old_configuration(node):
     """
-    Without news of the operator for too long, keyed calls are refused.
+    Keyed calls are refused if the operator's publications haven't been read for too long.
     """
     assert replies(feed(node, 5.1, call(events.SUBMIT))) == [effects.UNAVAILABLE]
 
 
 def test_a_configuration_never_gives_way_to_an_older_one(node):
     """
-    An older version that is read later changes nothing.
+    An older configuration that is read later is ignored.
     """
     feed(node, 0.1, events.OperatorRead(2, make_config(7, ("new",)), (), 0.1))
     feed(node, 0.2, events.OperatorRead(3, make_config(5, ("old",)), (), 0.2))
--- a/packages/eelgrassdrum-core/tests/test_jobs_ownership.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_ownership.py
@@ -1,5 +1,5 @@
 """
-Which instance owns the log.
+Ownership of the log: claims, timeouts of the owner and fencing.
 """
 
 from eelgrassdrum_core.jobs import Identity, Moment, effects, events, model, new_node, reduce
@@ -13,14 +13,14 @@
 
 def feed(node, now_s, event):
     """
-    Give an event to an instance.
+    Apply an event to an instance and return the effects.
     """
     return reduce(node, Moment(now_s, WALL_MS + round(now_s * 1000)), event)
 
 
 def make_node(name="entry"):
     """
-    Give an instance that has read an empty log.
+    Build an instance that has read an empty log.
     """
     node = new_node(Identity(name, WALL_MS, "zone"), BOUNDS)
     feed(node, 0.0, events.OperatorRead(1, CONFIG, (), 0.0))
@@ -34,7 +34,7 @@
 
 def read(node, now_s, records):
     """
-    Let an instance read records at the end of the log.
+    Let an instance read records at the end of the log and return the effects.
     """
     offset = node.replicated.offset
     data = tuple(encode_records(records))
@@ -43,14 +43,14 @@
 
 def claims(produced):
     """
-    Give the claims among effects.
+    Return the claims among effects.
     """
     return [item for item in produced if isinstance(item, effects.Append) and item.seq == 1]
 
 
 def own(node, now_s=1.0):
     """
-    Let an instance come to own the log.
+    Let an instance become the owner of the log.
     """
     read(node, now_s, [])
     (claim,) = claims(feed(node, now_s, events.Ticked()))
@@ -60,7 +60,7 @@
 
 def test_a_log_without_an_owner_is_claimed(node):
     """
-    An instance claims a log that has no owner, and owns it once it reads its claim.
+    An instance claims a log without an owner and owns it once it reads its own claim.
     """
     own(node)
     assert node.ownership.epoch == 1
@@ -68,7 +68,7 @@
 
 def test_a_silent_owner_loses_the_log(node):
     """
-    A log is claimed only after its owner was silent while the log could be read.
+    A log is claimed only if its owner's timeout passes while the log can be read.
     """
     read(node, 0.1, [Claimed(1, "other", 5)])
     read(node, 0.6, [])
@@ -79,7 +79,7 @@
 
 def test_an_outage_of_the_store_is_no_silence_of_the_owner(node):
     """
-    After reads that failed, the silence is counted from the first that succeeds.
+    After failed reads, the owner's timeout starts with the first read that succeeds.
     """
     read(node, 0.1, [Claimed(1, "other", 5)])
     feed(node, 0.3, events.LogReadFailed("timeout"))
@@ -92,7 +92,7 @@
 
 def test_a_released_log_is_claimed_at_once(node):
     """
-    An owner that gives the log up need not be waited for.
+    A released log is claimed without waiting for the owner's timeout.
     """
     read(node, 0.1, [Claimed(1, "other", 5)])
     read(node, 0.5, [Released(1)])
@@ -102,7 +102,7 @@
 
 def test_a_fenced_owner_steps_down_and_reads_all_again(node):
     """
-    An append that is refused for its epoch ends the ownership and drops what was decided.
+    An append that is refused for its epoch ends the ownership and discards the replicated state.
     """
     own(node)
     (append,) = [
@@ -116,7 +116,7 @@
 
 def test_a_claim_of_another_ends_an_ownership(node):
     """
-    An owner that reads a newer claim of another instance decides nothing any more.
+    An owner that reads a newer claim of another instance steps down.
     """
     own(node)
     read(node, 2.0, [Claimed(2, "other", 5)])
@@ -125,7 +125,7 @@
 
 def test_a_second_claim_of_an_epoch_changes_nothing(node):
     """
-    The first claim of an epoch holds.
+    Only the first claim of an epoch is valid.
     """
     read(node, 0.1, [Claimed(1, "first", 5), Claimed(1, "second", 6)])
     assert node.replicated.owner == ("first", 5)
@@ -133,7 +133,7 @@
 
 def test_an_append_without_an_answer_is_sent_again_under_its_number(node):
     """
-    The owner repeats a lost append with the same number and the same records.
+    The owner retries an append without a response with the same sequence number and records.
     """
     own(node)
 
@@ -148,7 +148,7 @@
 
 def test_a_young_instance_claims_before_an_old_one():
     """
-    Rolling restart: the log goes to an instance that was restarted already.
+    During a rolling restart, an instance that has already restarted claims the log first.
     """
 
     old, young = make_node("a"), make_node("b")
@@ -161,7 +161,7 @@
 
 def test_an_instance_with_a_narrow_link_claims_last():
     """
-    Unequal instances: the log goes to one that can carry the owner's load.
+    If instances have unequal resources, one that can carry the owner's load claims the log first.
     """
     weak, strong = make_node("a"), make_node("b")
     weak.identity = weak.identity._replace(weakness=0.75)
--- a/packages/eelgrassdrum-core/tests/test_jobs_records.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_records.py
@@ -1,5 +1,5 @@
 """
-Records of the job log, and snapshots of what they fold to.
+Records of the job log, and snapshots of the replicated state that they result in.
 """
 
 from hypothesis import given, settings
@@ -74,7 +74,7 @@
 
 def folded(items):
     """
-    Fold records into a book.
+    Apply records to an empty replicated state.
     """
     replicated = ReplicatedState()
     for item in items:
@@ -86,7 +86,7 @@
 
 def recount(replicated):
     """
-    Count the use of workers and workspaces anew from the tasks.
+    Recompute the usage of workers and workspaces from the tasks.
     """
     load, used = {}, {}
     for job in replicated.jobs.values():
@@ -105,7 +105,7 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 def test_use_is_counted_as_the_tasks_say(items):
     """
-    However records follow each other, the use of workers and workspaces is that of running tasks.
+    For any sequence of records, the usage of workers and workspaces is that of the running tasks.
     """
     replicated = folded(items)
     load, used = recount(replicated)
@@ -117,7 +117,7 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 def test_a_snapshot_gives_the_same_book(items):
     """
-    A book that was stored and read again says the same.
+    Encoding and decoding a snapshot preserves the replicated state.
     """
     replicated = folded(items)
     data = snapshot.encode(replicated, 10.0, WALL_MS)
@@ -136,7 +136,7 @@
 @settings(max_examples=50, deadline=None, derandomize=True)
 def test_records_survive_their_encoding(items):
     """
-    A record that was encoded is decoded as it was.
+    Encoding and decoding a record preserves it.
     """
     assert [records.decode_record(data) for data in records.encode_records(items)] == items
 
@@ -145,7 +145,7 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 def test_rubbish_is_no_record_and_no_snapshot(data):
     """
-    Bytes of another writer are told apart without an error.
+    Arbitrary bytes are rejected without an exception.
     """
     records.decode_record(data)
     assert snapshot.decode(data, 0.0, 0) is None
@@ -153,7 +153,7 @@
 
 def test_an_older_epoch_decides_nothing():
     """
-    A record of a former owner that comes late is left out by everyone.
+    A late record of a former owner is ignored.
     """
     replicated = folded(
         [
@@ -167,7 +167,7 @@
 
 def test_a_run_that_was_given_up_may_have_ended_well():
     """
-    An end as done of the newest run counts although the run was given up before.
+    The latest run counts as done even if it was recorded as lost before it completed.
     """
     replicated = folded(
         [
