--- a/packages/eelgrassdrum-core/tests/test_jobs_forwarding.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_forwarding.py
@@ -58,14 +58,14 @@
     return feed(node, now_s, call)
 
 
-def submission(job="job"):
+def encode_submission(job="job"):
     """
     Return the encoded record of a submission, as forwarded by another instance.
     """
     return tuple(encode_records([Submitted(job, "usual", "service", "a", SPEC, WALL_MS)]))
 
 
-def test_a_submission_goes_to_the_owner_and_is_accepted_by_its_answer(reader):
+def test_a_submission_is_forwarded_and_accepted_by_the_owners_response(reader):
     """
     An instance that doesn't own the log forwards a submission to the owner and appends nothing.
     """
@@ -77,7 +77,7 @@
     assert [reply.outcome for reply in of_type(produced, effects.Reply)] == [effects.ACCEPTED]
 
 
-def test_an_owner_that_refuses_is_passed_over(reader):
+def test_records_that_the_owner_refuses_are_appended_directly(reader):
     """
     If the owner refuses records, the instance appends them itself and refuses no caller yet.
     """
@@ -89,7 +89,7 @@
     assert isinstance(decode_record(append.records[0]), Submitted)
 
 
-def test_no_caller_is_refused_whose_record_the_owner_may_have_appended(reader):
+def test_a_caller_whose_record_the_owner_may_have_appended_is_not_refused(reader):
     """
     An owner that doesn't respond may have appended the record, so the outcome is uncertain.
     """
@@ -102,7 +102,7 @@
     assert [reply.outcome for reply in of_type(produced, effects.Reply)] == [effects.UNCERTAIN]
 
 
-def test_a_new_owner_is_given_what_the_former_one_did_not_answer(reader):
+def test_an_unanswered_batch_is_forwarded_to_the_new_owner(reader):
     """
     When an instance reads a new claim, it forwards its pending batch to the new owner immediately.
     """
@@ -113,15 +113,15 @@
     assert (forward.address, forward.epoch) == ("other:1", 8)
 
 
-def test_the_owner_appends_what_others_send_with_its_own_records(owner):
+def test_the_owner_appends_forwarded_records_with_its_own(owner):
     """
     The owner's next append contains another instance's records, which get the append's outcome.
     """
     now_s = START_S + 2.5
     commit(owner, now_s)
-    produced = feed(owner, now_s, events.PeerRecords(5, 1, submission()))
+    produced = feed(owner, now_s, events.PeerRecords(5, 1, encode_submission()))
     (append,) = of_type(produced, effects.Append)
-    assert submission()[0] in append.records
+    assert encode_submission()[0] in append.records
     produced = feed(owner, now_s + 0.01, events.Appended("owner", append.seq, events.OK))
     assert of_type(produced, effects.AnswerPeer) == [effects.AnswerPeer(5, events.OK)]
     assert "job" in owner.replicated.jobs
@@ -131,11 +131,11 @@
     """
     The owner refuses records that are addressed to another epoch.
     """
-    produced = feed(owner, START_S + 2.5, events.PeerRecords(5, 9, submission()))
+    produced = feed(owner, START_S + 2.5, events.PeerRecords(5, 9, encode_submission()))
     assert of_type(produced, effects.AnswerPeer) == [effects.AnswerPeer(5, events.REFUSED)]
 
 
-def test_only_records_of_callers_are_taken_from_others(owner):
+def test_only_callers_records_are_accepted_from_other_instances(owner):
     """
     The owner refuses forwarded records of types that only an owner may append.
     """
@@ -144,31 +144,31 @@
     assert of_type(produced, effects.AnswerPeer) == [effects.AnswerPeer(5, events.REFUSED)]
 
 
-def test_a_store_that_refuses_gives_records_back_and_keeps_the_owners_own(owner):
+def test_a_refused_append_refuses_callers_records_and_retries_the_owners_own(owner):
     """
     If the store refuses an append, callers' records are refused and the owner's own are retried.
     """
     now_s = START_S + 2.5
     commit(owner, now_s)
-    produced = feed(owner, now_s, events.PeerRecords(5, 1, submission()))
+    produced = feed(owner, now_s, events.PeerRecords(5, 1, encode_submission()))
     (append,) = of_type(produced, effects.Append)
     feed(owner, now_s + 0.01, events.Appended("owner", append.seq, events.REFUSED))
     (again,) = of_type(feed(owner, now_s + 0.3, events.Ticked()), effects.Append)
     produced = feed(owner, now_s + 0.31, events.Appended("owner", again.seq, events.REFUSED))
     assert of_type(produced, effects.AnswerPeer) == [effects.AnswerPeer(5, events.REFUSED)]
     later = of_type(feed(owner, now_s + 0.6, events.Ticked()), effects.Append)
-    assert all(submission()[0] not in item.records for item in later)
+    assert all(encode_submission()[0] not in item.records for item in later)
 
 
-def test_an_owner_that_loses_the_log_says_what_is_certain(owner):
+def test_a_fenced_owner_answers_the_forwarded_records(owner):
     """
     An owner that is fenced reports sent records as unknown and unsent ones as refused.
     """
     now_s = START_S + 2.5
     commit(owner, now_s)
-    produced = feed(owner, now_s, events.PeerRecords(5, 1, submission()))
+    produced = feed(owner, now_s, events.PeerRecords(5, 1, encode_submission()))
     (append,) = of_type(produced, effects.Append)
-    feed(owner, now_s, events.PeerRecords(6, 1, submission("later")))
+    feed(owner, now_s, events.PeerRecords(6, 1, encode_submission("later")))
     produced = feed(owner, now_s + 0.1, events.Appended("owner", append.seq, events.FENCED))
     answers = of_type(produced, effects.AnswerPeer)
     assert answers == [
--- a/packages/eelgrassdrum-core/tests/test_jobs_intake.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_intake.py
@@ -71,7 +71,7 @@
     return [effect.outcome for effect in of_type(produced, effects.Reply)]
 
 
-def test_a_job_is_accepted_once_it_stands_in_the_log(node):
+def test_a_job_is_accepted_once_it_is_committed(node):
     """
     A submission is accepted only once its append has succeeded.
     """
@@ -104,7 +104,7 @@
     assert replies(produced) == [effects.NO_SUCH_QUEUE]
 
 
-def test_a_key_that_is_not_known_is_refused_but_on_open_queues(node):
+def test_an_unknown_key_is_refused_except_on_open_queues(node):
     """
     A keyed queue only accepts known keys; an open queue accepts calls without a key.
     """
@@ -120,7 +120,7 @@
     assert replies(feed(node, 0.1, call(events.SUBMIT, spec=None))) == [effects.MALFORMED]
 
 
-def test_a_store_that_refuses_leads_to_a_refusal_with_a_time(node):
+def test_a_refused_append_leads_to_a_refusal_with_a_retry_delay(node):
     """
     A job that was definitely not stored is refused immediately, with a retry delay.
     """
@@ -131,7 +131,7 @@
     assert reply.retry_after_s >= 1.0
 
 
-def test_the_time_to_come_back_grows_with_the_outage(node):
+def test_the_retry_delay_grows_with_the_outage(node):
     """
     The retry delay grows with the duration of the store's outage, up to a limit.
     """
@@ -157,7 +157,7 @@
     assert replies(feed(node, 3.2, events.Ticked())) == [effects.UNCERTAIN]
 
 
-def test_a_cancel_that_overtakes_its_submission_holds(node):
+def test_a_cancel_that_precedes_its_submission_is_kept(node):
     """
     A job whose cancellation precedes its submission in the log is cancelled from the start.
     """
@@ -180,7 +180,7 @@
     assert replies(produced) == [effects.NO_SUCH_JOB]
 
 
-def test_no_job_is_denied_on_old_knowledge(node):
+def test_a_missing_job_is_not_reported_from_a_stale_log(node):
     """
     An instance that hasn't read the log recently doesn't report that a job doesn't exist.
     """
@@ -190,14 +190,14 @@
     assert replies(feed(node, 4.1, call(events.LOOK_UP))) == [effects.NO_SUCH_JOB]
 
 
-def test_keys_are_not_taken_on_an_old_configuration(node):
+def test_keyed_calls_are_refused_on_a_stale_configuration(node):
     """
     Keyed calls are refused if the operator's publications haven't been read for too long.
     """
     assert replies(feed(node, 5.1, call(events.SUBMIT))) == [effects.UNAVAILABLE]
 
 
-def test_a_configuration_never_gives_way_to_an_older_one(node):
+def test_a_configuration_is_not_replaced_by_an_older_one(node):
     """
     An older configuration that is read later is ignored.
     """
--- a/packages/eelgrassdrum-core/tests/test_jobs_ownership.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_ownership.py
@@ -48,7 +48,7 @@
     return [item for item in produced if isinstance(item, effects.Append) and item.seq == 1]
 
 
-def own(node, now_s=1.0):
+def become_owner(node, now_s=1.0):
     """
     Let an instance become the owner of the log.
     """
@@ -62,11 +62,11 @@
     """
     An instance claims a log without an owner and owns it once it reads its own claim.
     """
-    own(node)
+    become_owner(node)
     assert node.ownership.epoch == 1
 
 
-def test_a_silent_owner_loses_the_log(node):
+def test_a_log_is_claimed_after_the_owners_timeout(node):
     """
     A log is claimed only if its owner's timeout passes while the log can be read.
     """
@@ -77,7 +77,7 @@
     assert [claim.epoch for claim in claims(feed(node, 2.0, events.Ticked()))] == [2]
 
 
-def test_an_outage_of_the_store_is_no_silence_of_the_owner(node):
+def test_an_outage_of_the_store_does_not_count_towards_the_owners_timeout(node):
     """
     After failed reads, the owner's timeout starts with the first read that succeeds.
     """
@@ -100,11 +100,11 @@
     assert claims(feed(node, 0.9, events.Ticked()))
 
 
-def test_a_fenced_owner_steps_down_and_reads_all_again(node):
+def test_a_fenced_owner_steps_down_and_reloads_its_state(node):
     """
     An append that is refused for its epoch ends the ownership and discards the replicated state.
     """
-    own(node)
+    become_owner(node)
     (append,) = [
         item for item in feed(node, 1.5, events.Ticked()) if isinstance(item, effects.Append)
     ]
@@ -118,7 +118,7 @@
     """
     An owner that reads a newer claim of another instance steps down.
     """
-    own(node)
+    become_owner(node)
     read(node, 2.0, [Claimed(2, "other", 5)])
     assert not node.ownership.is_owner
 
@@ -131,11 +131,11 @@
     assert node.replicated.owner == ("first", 5)
 
 
-def test_an_append_without_an_answer_is_sent_again_under_its_number(node):
+def test_an_append_without_a_response_is_retried_with_its_sequence_number(node):
     """
     The owner retries an append without a response with the same sequence number and records.
     """
-    own(node)
+    become_owner(node)
 
     def appends(now_s, event):
         return [item for item in feed(node, now_s, event) if isinstance(item, effects.Append)]
@@ -159,7 +159,7 @@
     )
 
 
-def test_an_instance_with_a_narrow_link_claims_last():
+def test_an_instance_with_a_slow_link_claims_last():
     """
     If instances have unequal resources, one that can carry the owner's load claims the log first.
     """
--- a/packages/eelgrassdrum-core/tests/test_jobs_records.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_records.py
@@ -19,7 +19,7 @@
     ),
 )
 JOBS = st.sampled_from(["j1", "j2"])
-SPOT = {"step": st.sampled_from([0, 1, 5]), "index": st.sampled_from([0, 1, 7])}
+TASK_POSITION = {"step": st.sampled_from([0, 1, 5]), "index": st.sampled_from([0, 1, 7])}
 RECORDS = st.one_of(
     st.builds(
         records.Submitted,
@@ -37,8 +37,8 @@
         st.integers(1, 3),
         JOBS,
         st.just(0),
-        SPOT["step"],
-        SPOT["index"],
+        TASK_POSITION["step"],
+        TASK_POSITION["index"],
         st.integers(1, 3),
         st.sampled_from(["w1", "w2"]),
         st.just(1),
@@ -48,8 +48,8 @@
         st.integers(1, 3),
         JOBS,
         st.just(0),
-        SPOT["step"],
-        SPOT["index"],
+        TASK_POSITION["step"],
+        TASK_POSITION["index"],
         st.integers(1, 3),
         st.sampled_from(["done", "failed", "lost"]),
         st.sampled_from(["", "saved"]),
@@ -72,7 +72,7 @@
 )
 
 
-def folded(items):
+def apply_all(items):
     """
     Apply records to an empty replicated state.
     """
@@ -84,7 +84,7 @@
     return replicated
 
 
-def recount(replicated):
+def recompute_usage(replicated):
     """
     Recompute the usage of workers and workspaces from the tasks.
     """
@@ -103,31 +103,31 @@
 
 @given(st.lists(RECORDS, max_size=40))
 @settings(max_examples=150, deadline=None, derandomize=True)
-def test_use_is_counted_as_the_tasks_say(items):
+def test_usage_matches_the_running_tasks(items):
     """
     For any sequence of records, the usage of workers and workspaces is that of the running tasks.
     """
-    replicated = folded(items)
-    load, used = recount(replicated)
+    replicated = apply_all(items)
+    load, used = recompute_usage(replicated)
     assert {key: resources for key, resources in replicated.load.items() if any(resources)} == load
     assert {key: resources for key, resources in replicated.used.items() if any(resources)} == used
 
 
 @given(st.lists(RECORDS, max_size=40))
 @settings(max_examples=150, deadline=None, derandomize=True)
-def test_a_snapshot_gives_the_same_book(items):
+def test_a_snapshot_restores_the_replicated_state(items):
     """
     Encoding and decoding a snapshot preserves the replicated state.
     """
-    replicated = folded(items)
+    replicated = apply_all(items)
     data = snapshot.encode(replicated, 10.0, WALL_MS)
-    again = snapshot.decode(data, 10.0, WALL_MS)
-    assert snapshot.encode(again, 10.0, WALL_MS) == data
-    assert again.load == {
+    restored = snapshot.decode(data, 10.0, WALL_MS)
+    assert snapshot.encode(restored, 10.0, WALL_MS) == data
+    assert restored.load == {
         key: resources for key, resources in replicated.load.items() if any(resources)
     }
-    assert set(again.open_jobs) == set(replicated.open_jobs)
-    assert {q: n for q, n in again.pending.items() if n} == {
+    assert set(restored.open_jobs) == set(replicated.open_jobs)
+    assert {q: n for q, n in restored.pending.items() if n} == {
         q: n for q, n in replicated.pending.items() if n
     }
 
@@ -143,7 +143,7 @@
 
 @given(st.binary(max_size=60))
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_rubbish_is_no_record_and_no_snapshot(data):
+def test_arbitrary_bytes_are_rejected(data):
     """
     Arbitrary bytes are rejected without an exception.
     """
@@ -151,11 +151,11 @@
     assert snapshot.decode(data, 0.0, 0) is None
 
 
-def test_an_older_epoch_decides_nothing():
+def test_a_record_of_an_older_epoch_is_ignored():
     """
     A late record of a former owner is ignored.
     """
-    replicated = folded(
+    replicated = apply_all(
         [
             records.Submitted("j1", "q", "s", "a", SPEC, WALL_MS),
             records.Claimed(2, "new", 1),
@@ -165,11 +165,11 @@
     assert replicated.running == {}
 
 
-def test_a_run_that_was_given_up_may_have_ended_well():
+def test_a_lost_run_may_turn_out_to_be_done():
     """
     The latest run counts as done even if it was recorded as lost before it completed.
     """
-    replicated = folded(
+    replicated = apply_all(
         [
             records.Submitted("j1", "q", "s", "a", SPEC, WALL_MS),
             records.Claimed(1, "entry", 1),
