--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_node.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_node.py
@@ -400,7 +400,7 @@
     """
     The state of an instance.
 
-    :param silent_zones: availability zones whose workers seem to be unreachable.
+    :param unreachable_zones: availability zones whose workers seem to be unreachable.
     :param best_rates: highest progress rate of a run in percent per second, by job, occurrence and
         step.
     :param process_start_s: when the process started.
@@ -422,17 +422,17 @@
     fleet: Fleet = msgspec.field(default_factory=Fleet)
     advice: dict[tuple[str, int, int], StepAdvice] = {}
     best_rates: dict[tuple[str, int, int], float] = {}
-    silent_zones: frozenset[str] = frozenset()
+    unreachable_zones: frozenset[str] = frozenset()
     pools: dict[str, Any] = {}
-    pools_s: float = 0.0
-    avoid: dict[TaskKey, set[str]] = {}
+    next_pools_s: float = 0.0
+    avoided_workers: dict[TaskKey, set[str]] = {}
     process_start_s: float = -1.0
     is_stopping: bool = False
     stop_asked_s: float = 0.0
     plan_due: bool = False
     next_plan_s: float = 0.0
-    forget_s: float = 0.0
-    snapshot_s: float = 0.0
+    last_cleanup_s: float = 0.0
+    next_snapshot_s: float = 0.0
     snapshot_offset: int = 0
     is_snapshotting: bool = False
     out: list[Any] = []
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ownership.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ownership.py
@@ -48,7 +48,7 @@
 LEASE_MARGIN_S = 0.3
 
 
-def claim_if_owner_silent(node: Node, at: Moment) -> None:
+def claim_if_owner_timed_out(node: Node, at: Moment) -> None:
     """
     Claim the log if it has no owner or the owner's timeout has passed.
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_planner.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_planner.py
@@ -117,7 +117,7 @@
     """
     step = item.state.step
     is_plain = not step.max_per_worker and not item.queue.has_advice
-    is_welcome = task.key not in node.avoid and not _sites.is_suspect(site.worker)
+    is_welcome = task.key not in node.avoided_workers and not _sites.is_suspect(site.worker)
     return is_plain and is_welcome and item.state.resources.fits(site.free[0])
 
 
@@ -228,7 +228,7 @@
     node: Node, at: Moment, item: Ready, task: Task, pool: Pool, home: str = ""
 ) -> Site | None:
     step, resources = item.state.step, item.state.resources
-    avoid = node.avoid.get(task.key, ())
+    avoid = node.avoided_workers.get(task.key, ())
     counts = _sites.seat_counts(item.state) if step.max_per_worker else None
     best: Site | None = None
     best_score: tuple[float, ...] = ()
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_pools.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_pools.py
@@ -65,9 +65,9 @@
     :param node: the instance, which owns the log.
     :param at: the time.
     """
-    if at.now_s < node.pools_s or node.config is None or not node.fleet.rows:
+    if at.now_s < node.next_pools_s or node.config is None or not node.fleet.rows:
         return
-    node.pools_s = at.now_s + INTERVAL_S
+    node.next_pools_s = at.now_s + INTERVAL_S
     standby = next((s.name for s in node.config.services.values() if s.is_standby), None)
     if standby is None or not _is_settled(node, at):
         return
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_progress.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_progress.py
@@ -133,7 +133,7 @@
             rate=round(progress.rate or 0.0, 1),
             best_rate=round(node.best_rates[task.key[:3]], 1),
         )
-        node.avoid.setdefault(task.key, set()).add(worker.id)
+        node.avoided_workers.setdefault(task.key, set()).add(worker.id)
         _runs.send_stop(node, at, worker, task.key, task.run)
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_reduce.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_reduce.py
@@ -70,7 +70,7 @@
     _intake.expire(node, at)
     if node.ownership.reload_wanted and not node.ownership.is_owner:
         _tail.reload(node, at, "ownership_lost")
-    _ownership.claim_if_owner_silent(node, at)
+    _ownership.claim_if_owner_timed_out(node, at)
     if node.ownership.is_owner:
         _registry.read_registry(node, at)
         _leases.expire_leases(node, at)
@@ -81,8 +81,8 @@
         _instances.empty_instances(node, at)
         _snapshot.write_if_due(node, at)
         node.plan_due = True
-    if at.now_s - node.forget_s >= FORGET_INTERVAL_S:
-        node.forget_s = at.now_s
+    if at.now_s - node.last_cleanup_s >= FORGET_INTERVAL_S:
+        node.last_cleanup_s = at.now_s
         _fold.remove_expired(node.replicated, at.now_s, node.bounds.status_s)
         _advice.forget(node)
         _progress.forget(node)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_runs.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_runs.py
@@ -74,7 +74,7 @@
 def _blame(node: Node, worker: Worker, key: TaskKey) -> None:
     if key.job not in worker.failed_jobs:
         worker.failed_jobs.append(key.job)
-    node.avoid.setdefault(key, set()).add(worker.id)
+    node.avoided_workers.setdefault(key, set()).add(worker.id)
 
 
 def _close_if_over(node: Node, at: Moment, job: Job, task: Task) -> None:
@@ -121,7 +121,7 @@
         failures=failures[:MAX_LOGGED],
     )
     for task in tasks_of(job):
-        node.avoid.pop(task.key, None)
+        node.avoided_workers.pop(task.key, None)
         worker = node.workers.get(task.worker)
         if task.status == _replicated_state.RUNNING and worker is not None:
             order = worker.orders.get(task.key)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_sites.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_sites.py
@@ -48,7 +48,7 @@
 def _is_sound(node: Node, at: Moment, worker: Worker) -> bool:
     return (
         at.now_s >= worker.slow_until_s
-        and worker.entry.zone not in node.silent_zones
+        and worker.entry.zone not in node.unreachable_zones
         and not _workers.is_overdue(worker, at.now_s)
     )
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_snapshot.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_snapshot.py
@@ -216,7 +216,7 @@
     :param at: the current time.
     """
     is_due = node.replicated.offset - node.snapshot_offset >= SNAPSHOT_INTERVAL_RECORDS
-    if not is_due or node.is_snapshotting or at.now_s < node.snapshot_s:
+    if not is_due or node.is_snapshotting or at.now_s < node.next_snapshot_s:
         return
     # The replicated state includes the owner's pending records, which must not be in a snapshot.
     if not _journal.is_idle(node) or not node.tail.is_caught_up:
@@ -235,7 +235,7 @@
     :param event: outcome of the write.
     """
     node.is_snapshotting = False
-    node.snapshot_s = at.now_s + RETRY_S
+    node.next_snapshot_s = at.now_s + RETRY_S
     if event.outcome != events.OK:
         log_line(node, "snapshot.not_stored", offset=event.offset, outcome=event.outcome)
         return
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_workers.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_workers.py
@@ -148,16 +148,16 @@
         for zone, count in overdue.items()
         if count >= LEAST_OVERDUE and count > SILENT_PART * asked[zone]
     )
-    if silent != node.silent_zones:
+    if silent != node.unreachable_zones:
         log_line(
             node,
             "zones.silent",
             zones=sorted(silent),
-            former=sorted(node.silent_zones),
+            former=sorted(node.unreachable_zones),
             overdue=dict(overdue),
             asked=dict(asked),
         )
-        node.silent_zones = silent
+        node.unreachable_zones = silent
 
 
 def on_hold(node: Node, at: Moment, event: events.HoldAnswered) -> Worker | None:
