--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_journal.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_journal.py
@@ -11,8 +11,8 @@
 
 CHANNEL = "owner"
 PRODUCER = "owner"
-# A third of the timeout after which other instances claim the log. The heartbeats also carry the
-# owner's clock, from which all instances compute elapsed time.
+# A third of the minimum timeout after which other instances claim the log. The heartbeats also
+# carry the owner's clock, from which all instances compute elapsed time.
 HEARTBEAT_INTERVAL_S = 0.2
 # Retry interval of an append that was refused or has no response.
 RETRY_S = 0.15
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_node.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_node.py
@@ -338,7 +338,7 @@
         created.
     :param last_success_s: when the latest successful read was sent.
     :param answered_s: when its response arrived.
-    :param readable_since_s: time since which no read has failed.
+    :param readable_since_s: time since which no read has failed; in the far future while reads fail.
     :param owner_record_s: when a record of the owner was last read.
     :param owner_gap_s: decaying maximum of the time between two reads with records of the owner.
     :param wait_s: how long the read in progress may wait at the store.
@@ -403,7 +403,12 @@
     :param unreachable_zones: availability zones whose workers seem to be unreachable.
     :param best_rates: highest progress rate of a run in percent per second, by job, occurrence and
         step.
+    :param avoided_workers: workers to avoid for the next run of a task, by task.
     :param process_start_s: when the process started.
+    :param plan_due: whether an event requires a new plan.
+    :param last_cleanup_s: when expired jobs were last removed.
+    :param next_snapshot_s: earliest time of the next snapshot.
+    :param snapshot_offset: offset of the last snapshot that this instance stored, or 0.
     :param out: effects of the event that is being reduced.
     """
 
