--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_node.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_node.py
@@ -338,7 +338,7 @@
         created.
     :param last_success_s: when the latest successful read was sent.
     :param answered_s: when its response arrived.
-    :param readable_since_s: time since which no read has failed; in the far future while reads fail.
+    :param readable_since_s: time since which no read has failed; 1e18 while reads fail.
     :param owner_record_s: when a record of the owner was last read.
     :param owner_gap_s: decaying maximum of the time between two reads with records of the owner.
     :param wait_s: how long the read in progress may wait at the store.
