--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/__init__.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/__init__.py
@@ -1,22 +1,22 @@
 """
-The scheduling of jobs: a pure reducer over the events of one instance.
+Job scheduling as a pure reducer over the events of one instance.
 
-`new_node` makes the state, `reduce` takes an event and gives the effects to carry out.
+`new_node` builds the state; `reduce` applies an event and returns the effects to carry out.
 """
 
 from . import _records as records
 from . import effects, events, model
-from ._book import Book
 from ._intake import CHANNEL as INTAKE_CHANNEL
 from ._node import Identity, Moment, Node
 from ._reduce import reduce
+from ._replicated_state import ReplicatedState
 
 __all__ = [
     "INTAKE_CHANNEL",
-    "Book",
     "Identity",
     "Moment",
     "Node",
+    "ReplicatedState",
     "effects",
     "events",
     "model",
@@ -28,10 +28,10 @@
 
 def new_node(identity: Identity, bounds: model.Bounds) -> Node:
     """
-    Make the state of an instance that has just started.
+    Build the state of an instance that has just started.
 
-    :param identity: which instance it is.
-    :param bounds: times that the platform promises or asks for.
+    :param identity: identity of the instance.
+    :param bounds: time limits that the platform guarantees or requires.
     :returns: the state.
     """
     return Node(identity, bounds)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ownership.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ownership.py
@@ -1,9 +1,9 @@
 """
-Decides which instance owns the log, and with it all decisions about tasks and instances.
+Leader election: decides which instance owns the log and so decides about tasks and instances.
 
-An owner that is silent for a while loses the log to the first instance whose claim is appended. The
-store lets only one claim of an epoch in, and refuses appends of an older epoch from then on. A
-claimant takes over when it reads its own claim, so it has read all that came before it.
+When no record of the owner arrives for a timeout, the log goes to the first instance whose claim is
+appended. The store accepts only one claim per epoch and from then on refuses appends with an older
+epoch. A claimant takes over when it reads its own claim; by then it has read all earlier records.
 """
 
 from typing import Any
@@ -11,46 +11,49 @@
 import xxhash
 
 from . import _journal, effects, events
-from ._node import Fleet, Follow, Moment, Node, emit, log_line
+from ._node import Fleet, Moment, Node, Subscription, emit, log_line
 from ._records import Claimed, Released, encode_records
 from .model import Bounds
 
 CHANNEL = "claim"
-# Silence of the owner after which its log is claimed: three of its beats.
-SILENCE_S = 0.6
-# More silence where the store takes long for an answer, as multiples of that: the owner's append
-# and the read that shows it.
-DELAY_FACTOR = 2.0
-# Silence as a multiple of the longest gap between the owner's records of late, and its bound.
-GAP_FACTOR = 2.0
-MOST_SILENCE_S = 2.4
-# After a claim that failed, another one is sent no sooner than this: time to read who has the log.
-CLAIM_PAUSE_S = 0.4
-# Spread of the claims of several instances, so that the first is seen by the others.
-SPREAD_S = 0.1
-SPREAD_STEPS = 16
-# Instances that started lately claim first, by up to this much: a rolling restart comes to them
-# last. From this age on it makes no difference.
-AGE_SPREAD_S = 0.2
-OLD_S = 60.0
-# Instances with a narrow link or little processor time claim last, by up to this much: the owner
-# sends all orders. It exceeds the time between two reads of the log, by which others learn of a
-# silence.
-WEAK_SPREAD_S = 0.6
-# A claim without an answer is given up after this; if it was done, the log shows it.
+# Minimum time without a record of the owner after which its log is claimed: three heartbeats.
+OWNER_TIMEOUT_S = 0.6
+# Multiple of the store's response time by which the timeout is extended: one for the owner's append
+# and one for the read that returns it.
+STORE_DELAY_FACTOR = 2.0
+# Minimum timeout as a multiple of the longest recent gap between the owner's records.
+OWNER_GAP_FACTOR = 2.0
+# Upper bound of the timeout.
+MAX_OWNER_TIMEOUT_S = 2.4
+# Minimum delay after a failed claim, which allows time to read who owns the log.
+CLAIM_BACKOFF_S = 0.4
+# Jitter between the claims of several instances, so that the others can read the first claim before
+# they send theirs.
+CLAIM_JITTER_S = 0.1
+CLAIM_JITTER_STEPS = 16
+# Maximum extra delay by age: recently started instances claim first, since a rolling restart
+# reaches them last.
+MAX_AGE_DELAY_S = 0.2
+# Age from which the delay by age no longer grows.
+OLD_INSTANCE_S = 60.0
+# Maximum extra delay of instances with a slow link or little CPU time: they claim last, because the
+# owner sends all orders. It exceeds the interval between two reads of the log, from which the other
+# instances notice the owner's timeout.
+MAX_WEAKNESS_DELAY_S = 0.6
+# Timeout of a claim without a response. If the claim was appended, it is read from the log.
 CLAIM_TIMEOUT_S = 1.5
-# Clocks of workers may be this much slow; leases are waited out by it.
+# Fraction by which workers' clocks may run slow; waits for the expiry of leases are extended by it.
 CLOCK_DRIFT = 0.021
-# Added to a wait for a lease that was given by someone else.
+# Safety margin added to every wait for the expiry of a lease.
 LEASE_MARGIN_S = 0.3
 
 
-def consider_claim(node: Node, at: Moment) -> None:
+def claim_if_owner_timed_out(node: Node, at: Moment) -> None:
     """
-    Claim the log if its owner seems gone.
+    Claim the log if it has no owner or the owner's timeout has passed.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     """
     ownership = node.ownership
     if ownership.is_owner or node.is_stopping or not node.tail.is_caught_up:
@@ -59,13 +62,13 @@
         if at.now_s - ownership.claim_sent_s > CLAIM_TIMEOUT_S:
             ownership.is_claiming = False
         return
-    quiet_s = node.tail.answered_s - max(node.tail.owner_s, node.tail.steady_s)
-    wait_s = spread_s(node, at)
-    if node.book.owner is not None:
-        wait_s += _silence_s(node)
+    quiet_s = node.tail.answered_s - max(node.tail.owner_record_s, node.tail.readable_since_s)
+    wait_s = claim_delay_s(node, at)
+    if node.replicated.owner is not None:
+        wait_s += _owner_timeout_s(node)
     if node.config is None or quiet_s < wait_s or at.now_s < ownership.next_claim_s:
         return
-    epoch = max(node.book.epoch, ownership.floor) + 1
+    epoch = max(node.replicated.epoch, ownership.refused_epoch) + 1
     ownership.is_claiming = True
     ownership.claim_sent_s = at.now_s
     identity = node.identity
@@ -74,67 +77,73 @@
         node,
         "owner.claiming",
         epoch=epoch,
-        former=node.book.owner,
+        former=node.replicated.owner,
         quiet_s=round(quiet_s, 3),
-        offset=node.book.offset,
+        offset=node.replicated.offset,
     )
     data = tuple(encode_records([record]))
     emit(node, effects.Append(CHANNEL, _journal.PRODUCER, epoch, 1, data))
     node.tail.next_read_s = at.now_s
 
 
-def _silence_s(node: Node) -> float:
+def _owner_timeout_s(node: Node) -> float:
     tail = node.tail
-    silence_s = max(SILENCE_S + DELAY_FACTOR * tail.delay_s, GAP_FACTOR * tail.gap_s)
-    return min(MOST_SILENCE_S, silence_s)
+    timeout_s = max(
+        OWNER_TIMEOUT_S + STORE_DELAY_FACTOR * tail.store_delay_s,
+        OWNER_GAP_FACTOR * tail.owner_gap_s,
+    )
+    return min(MAX_OWNER_TIMEOUT_S, timeout_s)
 
 
-def spread_s(node: Node, at: Moment) -> float:
+def claim_delay_s(node: Node, at: Moment) -> float:
     """
-    Give this instance's place among those that would claim the next epoch.
+    Return how long this instance waits before it claims the next epoch.
+
+    The delay consists of a jitter that is derived from the instance and the epoch, and of delays
+    for old instances and for those with few resources.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     :returns: seconds to wait.
     """
-    seed = f"{node.identity.producer}/{node.book.epoch}"
-    place = xxhash.xxh64_intdigest(seed.encode()) % SPREAD_STEPS
-    age_s = min(OLD_S, at.now_s - node.began_s)
+    seed = f"{node.identity.producer}/{node.replicated.epoch}"
+    slot = xxhash.xxh64_intdigest(seed.encode()) % CLAIM_JITTER_STEPS
+    age_s = min(OLD_INSTANCE_S, at.now_s - node.process_start_s)
     return (
-        SPREAD_S * place / SPREAD_STEPS
-        + AGE_SPREAD_S * age_s / OLD_S
-        + WEAK_SPREAD_S * node.identity.weakness
+        CLAIM_JITTER_S * slot / CLAIM_JITTER_STEPS
+        + MAX_AGE_DELAY_S * age_s / OLD_INSTANCE_S
+        + MAX_WEAKNESS_DELAY_S * node.identity.weakness
     )
 
 
 def on_claim_appended(node: Node, at: Moment, event: events.Appended) -> None:
     """
-    Take the outcome of a claim. Whether it holds is read from the log.
+    Handle the outcome of appending a claim. Whether the claim won is only decided by reading it.
 
     :param node: the instance.
-    :param at: the time.
-    :param event: the outcome.
+    :param at: the current time.
+    :param event: outcome of the append.
     """
     ownership = node.ownership
     if event.outcome == events.OK:
         return
     ownership.is_claiming = False
-    ownership.next_claim_s = at.now_s + CLAIM_PAUSE_S
+    ownership.next_claim_s = at.now_s + CLAIM_BACKOFF_S
     if event.outcome == events.FENCED:
-        ownership.floor = max(ownership.floor, node.book.epoch) + 1
+        ownership.refused_epoch = max(ownership.refused_epoch, node.replicated.epoch) + 1
     log_line(node, "owner.claim_failed", outcome=event.outcome, detail=event.detail)
 
 
 def on_claimed(node: Node, at: Moment, record: Claimed) -> bool:
     """
-    Take a claim that was read from the log.
+    Handle a claim that was read from the log.
 
     :param node: the instance.
-    :param at: the time.
+    :param at: the current time.
     :param record: the claim.
-    :returns: whether this instance has just come to own the log.
+    :returns: whether this instance has just become the owner.
     """
-    if record.epoch != node.book.epoch:
+    if record.epoch != node.replicated.epoch:
         return False
     ownership = node.ownership
     is_own = (record.instance, record.incarnation) == node.identity[:2]
@@ -142,7 +151,7 @@
         return False
     if ownership.is_owner:
         step_down(node, at, "claimed_by_another", by=record.instance, epoch=record.epoch)
-    # An own claim of a time before a reload is read again, but its epoch is not taken up again.
+    # After a reload, this instance reads its former claims again but must not resume their epochs.
     if is_own and ownership.is_claiming and record.epoch > ownership.epoch:
         _take_over(node, at, record)
         return True
@@ -157,9 +166,9 @@
     ownership.claimed_s = at.now_s
     ownership.confirmed_s = ownership.claim_sent_s
     _journal.reset(node, 1)
-    node.journal.sent_s = node.journal.beat_s = at.now_s
+    node.journal.sent_s = node.journal.heartbeat_s = at.now_s
     node.workers = {}
-    node.registry = Follow()
+    node.registry = Subscription()
     node.fleet = Fleet()
     node.advice = {}
     node.best_rates = {}
@@ -171,21 +180,23 @@
         node,
         "owner.began",
         epoch=record.epoch,
-        offset=node.book.offset,
-        jobs=len(node.book.open_jobs),
-        runs=sum(len(runs) for runs in node.book.running.values()),
+        offset=node.replicated.offset,
+        jobs=len(node.replicated.open_jobs),
+        runs=sum(len(runs) for runs in node.replicated.running.values()),
         claim_s=round(at.now_s - ownership.claim_sent_s, 3),
     )
 
 
 def step_down(node: Node, at: Moment, reason: str, **fields: Any) -> None:
     """
-    Stop deciding; the book is read again, since it may hold decisions that were never appended.
+    Give up ownership and request a reload of the replicated state.
+
+    The reload is needed because the state may include records that were never appended.
 
     :param node: the instance.
-    :param at: the time.
-    :param reason: why, for the log.
-    :param fields: more of what decided it.
+    :param at: the current time.
+    :param reason: reason for the structured log.
+    :param fields: further fields of the log line.
     """
     ownership = node.ownership
     if not ownership.is_owner:
@@ -207,10 +218,10 @@
 
 def release(node: Node, at: Moment) -> None:
     """
-    Give the log up, so that another instance need not wait for silence.
+    Release the log, so that another instance can claim it without waiting for the owner's timeout.
 
     :param node: the instance, which owns the log.
-    :param at: the time.
+    :param at: the current time.
     """
     node.journal.next.records.append(Released(node.ownership.epoch))
     log_line(node, "owner.releasing", epoch=node.ownership.epoch)
@@ -218,24 +229,24 @@
 
 def lease_end_s(node: Node, bounds: Bounds) -> float:
     """
-    Give the latest time to which this owner may lease workers.
+    Return the latest time until which this owner may grant leases to workers.
 
-    It depends on when the ownership was last confirmed, so that a new owner can tell when every
-    lease of a former one has run out.
+    It is bounded by the last confirmation of the ownership, so that a new owner knows when all
+    leases of a former owner have expired.
 
     :param node: the instance.
-    :param bounds: times of the platform.
-    :returns: time by this instance's clock.
+    :param bounds: time limits of the platform.
+    :returns: time by this instance's clock, in seconds.
     """
     return node.ownership.confirmed_s + bounds.max_lease_s
 
 
 def former_leases_end_s(node: Node) -> float:
     """
-    Give the time at which all leases of former owners have run out, on the slowest clock.
+    Return the time at which all leases of former owners have expired, even on the slowest clock.
 
     :param node: the instance.
-    :returns: time by this instance's clock.
+    :returns: time by this instance's clock, in seconds.
     """
     lease_s = node.bounds.max_lease_s * (1 + CLOCK_DRIFT)
     return node.ownership.claimed_s + lease_s + LEASE_MARGIN_S
--- /dev/null
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_replicated_state.py
@@ -0,0 +1,208 @@
+"""
+The replicated state of all jobs, which every instance computes from the job log.
+"""
+
+import msgspec
+
+from .model import JobSpec, Resources, Step, TaskKey
+
+WAITING = "waiting"
+RUNNING = "running"
+DONE = "done"
+FAILED = "failed"
+
+QUEUED = "queued"
+COMPLETED = "completed"
+CANCELLED = "cancelled"
+FINAL_STATES = frozenset({COMPLETED, FAILED, CANCELLED})
+
+
+class Task(msgspec.Struct, eq=False):
+    """
+    The state of a task.
+
+    :param run: number of the latest run; 0 before the first.
+    :param failures: number of runs that failed.
+    :param checkpoint: latest checkpoint, or empty.
+    """
+
+    key: TaskKey
+    status: str = WAITING
+    run: int = 0
+    worker: str = ""
+    worker_incarnation: int = 0
+    failures: int = 0
+    checkpoint: str = ""
+
+
+class StepState(msgspec.Struct, eq=False):
+    """
+    The state of a step in one occurrence of a job.
+
+    :param unfinished: number of tasks that are not done.
+    :param waiting: number of tasks without a run.
+    :param resources: resources that each task takes up on a worker.
+    """
+
+    step: Step
+    tasks: list[Task]
+    unfinished: int
+    waiting: int
+    resources: Resources
+
+
+class Job(msgspec.Struct, eq=False):
+    """
+    The state of a job.
+
+    :param state: state by all records, including the owner's records that aren't committed yet.
+    :param committed_state: state by committed records only, which is what callers are told.
+    :param seen_s: estimated time of submission, by this instance's clock.
+    :param open_occurrences: number of occurrences with unfinished tasks.
+    :param critical_path_s: length of the critical path from each step on; empty until computed.
+    """
+
+    id: str
+    queue: str
+    service: str
+    workspace: str
+    spec: JobSpec
+    at_ms: int
+    seen_s: float
+    state: str = QUEUED
+    committed_state: str = QUEUED
+    cancelled: bool = False
+    closed_s: float = 0.0
+    occurrences: dict[int, list[StepState]] = {}
+    open_occurrences: int = 1
+    critical_path_s: tuple[float, ...] = ()
+
+    @property
+    def is_long_running(self) -> bool:
+        """
+        Whether any task of the job runs until the job is cancelled.
+        """
+        return any(step.is_long_running for step in self.spec.steps)
+
+
+class InstanceOrder(msgspec.Struct, eq=False):
+    """
+    The latest order for an instance.
+
+    :param seen_s: when this instance read the order, by its own clock.
+    :param log_s: `ReplicatedState.log_s` when the order was read.
+    """
+
+    wave: int
+    pool: str
+    epoch: int
+    at_ms: int
+    seen_s: float = 0.0
+    is_done: bool = False
+    log_s: float = 0.0
+
+
+class ReplicatedState(msgspec.Struct, eq=False):
+    """
+    The state that results from applying every record of the job log in order.
+
+    :param offset: offset of the next record to read.
+    :param epoch: epoch of the latest claim.
+    :param owner: instance and incarnation of the log's owner, or ``None`` once released.
+    :param owner_address: address at which the owner accepts callers' records from other instances.
+    :param running: tasks with a running run, by worker.
+    :param load: resources taken up by these runs, by worker.
+    :param used: resources requested by the running tasks of each workspace.
+    :param early_cancels: cancellations that were logged before their job was submitted, with
+        their Unix times in milliseconds.
+    :param orders: latest order for each instance.
+    :param maintained: instances whose maintenance has begun, by wave.
+    :param pending: number of queued jobs without a schedule, by queue.
+    :param log_s: elapsed time by the log: the sum of the intervals between heartbeats of the same
+        owner. It doesn't depend on wall clocks and never runs ahead of real time.
+    :param log_read_s: when the latest heartbeat was read, by this instance's clock.
+    :param newest_heartbeat: epoch and owner's clock in milliseconds of the latest heartbeat.
+    """
+
+    offset: int = 0
+    epoch: int = 0
+    owner: tuple[str, int] | None = None
+    owner_address: str = ""
+    jobs: dict[str, Job] = {}
+    open_jobs: dict[str, Job] = {}
+    running: dict[str, dict[TaskKey, Task]] = {}
+    load: dict[str, Resources] = {}
+    used: dict[str, Resources] = {}
+    early_cancels: dict[str, int] = {}
+    orders: dict[str, InstanceOrder] = {}
+    maintained: dict[int, set[str]] = {}
+    closed_waves: set[int] = set()
+    pending: dict[str, int] = {}
+    log_s: float = 0.0
+    log_read_s: float = 0.0
+    newest_heartbeat: tuple[int, int] = (0, 0)
+
+
+def occurrence_of(job: Job, number: int) -> list[StepState]:
+    """
+    Return the steps of an occurrence, which are created on first use.
+
+    :param job: the job.
+    :param number: number of the occurrence, from 0.
+    :returns: state of each step.
+    """
+    steps = job.occurrences.get(number)
+    if steps is None:
+        steps = job.occurrences[number] = [
+            StepState(
+                step,
+                [Task(TaskKey(job.id, number, at, index)) for index in range(step.count)],
+                step.count,
+                step.count,
+                step.resources,
+            )
+            for at, step in enumerate(job.spec.steps)
+        ]
+    return steps
+
+
+def find_task(replicated: ReplicatedState, key: TaskKey) -> Task | None:
+    """
+    Return the task with a key.
+
+    :param replicated: the replicated state.
+    :param key: key of the task.
+    :returns: the task, or ``None`` if there is no such job or task.
+    """
+    job = replicated.jobs.get(key.job)
+    if job is None or not 0 <= key.step < len(job.spec.steps):
+        return None
+    if not 0 <= key.occurrence < max(1, job.spec.repeats):
+        return None
+    tasks = occurrence_of(job, key.occurrence)[key.step].tasks
+    return tasks[key.number] if 0 <= key.number < len(tasks) else None
+
+
+def is_released(job: Job, number: int, at: int) -> bool:
+    """
+    Return whether all steps that a step depends on are done.
+
+    :param job: the job.
+    :param number: number of the occurrence.
+    :param at: number of the step.
+    :returns: whether the tasks of the step may start.
+    """
+    steps = occurrence_of(job, number)
+    return all(steps[earlier].unfinished == 0 for earlier in job.spec.steps[at].after)
+
+
+def max_attempts_reached(task: Task, step: Step, max_attempts: int) -> bool:
+    """
+    Return whether a task has used up its attempts. Long-running tasks have no such limit.
+
+    :param task: the task.
+    :param step: step of the task.
+    :param max_attempts: limit on failed runs of the task's queue.
+    :returns: whether the job of the task has failed.
+    """
+    return not step.is_long_running and task.failures >= max_attempts
--- a/packages/eelgrassdrum-core/tests/test_jobs_records.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_records.py
@@ -1,11 +1,11 @@
 """
-Records of the job log, and snapshots of what they fold to.
+Records of the job log, and snapshots of the replicated state that they result in.
 """
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from eelgrassdrum_core.jobs import Book, model
+from eelgrassdrum_core.jobs import ReplicatedState, model
 from eelgrassdrum_core.jobs import _fold as fold
 from eelgrassdrum_core.jobs import _records as records
 from eelgrassdrum_core.jobs import _snapshot as snapshot
@@ -19,7 +19,7 @@
     ),
 )
 JOBS = st.sampled_from(["j1", "j2"])
-SPOT = {"step": st.sampled_from([0, 1, 5]), "index": st.sampled_from([0, 1, 7])}
+TASK_POSITION = {"step": st.sampled_from([0, 1, 5]), "index": st.sampled_from([0, 1, 7])}
 RECORDS = st.one_of(
     st.builds(
         records.Submitted,
@@ -37,8 +37,8 @@
         st.integers(1, 3),
         JOBS,
         st.just(0),
-        SPOT["step"],
-        SPOT["index"],
+        TASK_POSITION["step"],
+        TASK_POSITION["index"],
         st.integers(1, 3),
         st.sampled_from(["w1", "w2"]),
         st.just(1),
@@ -48,8 +48,8 @@
         st.integers(1, 3),
         JOBS,
         st.just(0),
-        SPOT["step"],
-        SPOT["index"],
+        TASK_POSITION["step"],
+        TASK_POSITION["index"],
         st.integers(1, 3),
         st.sampled_from(["done", "failed", "lost"]),
         st.sampled_from(["", "saved"]),
@@ -72,61 +72,63 @@
 )
 
 
-def folded(items):
+def apply_all(items):
     """
-    Fold records into a book.
+    Apply records to an empty replicated state.
     """
-    book = Book()
+    replicated = ReplicatedState()
     for item in items:
-        fold.apply(book, item, 10.0, WALL_MS)
-        fold.confirm(book, item)
-        book.offset += 1
-    return book
+        fold.apply(replicated, item, 10.0, WALL_MS)
+        fold.confirm(replicated, item)
+        replicated.offset += 1
+    return replicated
 
 
-def recount(book):
+def recompute_usage(replicated):
     """
-    Count the use of workers and workspaces anew from the tasks.
+    Recompute the usage of workers and workspaces from the tasks.
     """
     load, used = {}, {}
-    for job in book.jobs.values():
+    for job in replicated.jobs.values():
         for steps in job.occurrences.values():
             for state in steps:
                 for task in state.tasks:
                     if task.status == "running":
-                        need = model.Room(*state.step.need)
-                        room = load.get(task.worker, model.NO_ROOM)
-                        load[task.worker] = room.plus(state.step.room)
-                        used[job.workspace] = used.get(job.workspace, model.NO_ROOM).plus(need)
+                        need = model.Resources(*state.step.need)
+                        resources = load.get(task.worker, model.NO_RESOURCES)
+                        load[task.worker] = resources.plus(state.step.resources)
+                        used[job.workspace] = used.get(job.workspace, model.NO_RESOURCES).plus(need)
     return load, used
 
 
 @given(st.lists(RECORDS, max_size=40))
 @settings(max_examples=150, deadline=None, derandomize=True)
-def test_use_is_counted_as_the_tasks_say(items):
+def test_usage_matches_the_running_tasks(items):
     """
-    However records follow each other, the use of workers and workspaces is that of running tasks.
+    For any sequence of records, the usage of workers and workspaces is that of the running tasks.
     """
-    book = folded(items)
-    load, used = recount(book)
-    assert {key: room for key, room in book.load.items() if any(room)} == load
-    assert {key: room for key, room in book.used.items() if any(room)} == used
+    replicated = apply_all(items)
+    load, used = recompute_usage(replicated)
+    assert {key: resources for key, resources in replicated.load.items() if any(resources)} == load
+    assert {key: resources for key, resources in replicated.used.items() if any(resources)} == used
 
 
 @given(st.lists(RECORDS, max_size=40))
 @settings(max_examples=150, deadline=None, derandomize=True)
-def test_a_snapshot_gives_the_same_book(items):
-    """
-    A book that was stored and read again says the same.
-    """
-    book = folded(items)
-    data = snapshot.encode(book, 10.0, WALL_MS)
-    again = snapshot.decode(data, 10.0, WALL_MS)
-    assert snapshot.encode(again, 10.0, WALL_MS) == data
-    assert again.load == {key: room for key, room in book.load.items() if any(room)}
-    assert set(again.open_jobs) == set(book.open_jobs)
-    assert {q: n for q, n in again.pending.items() if n} == {
-        q: n for q, n in book.pending.items() if n
+def test_a_snapshot_restores_the_replicated_state(items):
+    """
+    Encoding and decoding a snapshot preserves the replicated state.
+    """
+    replicated = apply_all(items)
+    data = snapshot.encode(replicated, 10.0, WALL_MS)
+    restored = snapshot.decode(data, 10.0, WALL_MS)
+    assert snapshot.encode(restored, 10.0, WALL_MS) == data
+    assert restored.load == {
+        key: resources for key, resources in replicated.load.items() if any(resources)
+    }
+    assert set(restored.open_jobs) == set(replicated.open_jobs)
+    assert {q: n for q, n in restored.pending.items() if n} == {
+        q: n for q, n in replicated.pending.items() if n
     }
 
 
@@ -134,40 +136,40 @@
 @settings(max_examples=50, deadline=None, derandomize=True)
 def test_records_survive_their_encoding(items):
     """
-    A record that was encoded is decoded as it was.
+    Encoding and decoding a record preserves it.
     """
     assert [records.decode_record(data) for data in records.encode_records(items)] == items
 
 
 @given(st.binary(max_size=60))
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_rubbish_is_no_record_and_no_snapshot(data):
+def test_arbitrary_bytes_are_rejected(data):
     """
-    Bytes of another writer are told apart without an error.
+    Arbitrary bytes are rejected without an exception.
     """
     records.decode_record(data)
     assert snapshot.decode(data, 0.0, 0) is None
 
 
-def test_an_older_epoch_decides_nothing():
+def test_a_record_of_an_older_epoch_is_ignored():
     """
-    A record of a former owner that comes late is left out by everyone.
+    A late record of a former owner is ignored.
     """
-    book = folded(
+    replicated = apply_all(
         [
             records.Submitted("j1", "q", "s", "a", SPEC, WALL_MS),
             records.Claimed(2, "new", 1),
             records.Started(1, "j1", 0, 0, 0, 1, "w1", 1),
         ]
     )
-    assert book.running == {}
+    assert replicated.running == {}
 
 
-def test_a_run_that_was_given_up_may_have_ended_well():
+def test_a_lost_run_may_turn_out_to_be_done():
     """
-    An end as done of the newest run counts although the run was given up before.
+    The latest run counts as done even if it was recorded as lost before it completed.
     """
-    book = folded(
+    replicated = apply_all(
         [
             records.Submitted("j1", "q", "s", "a", SPEC, WALL_MS),
             records.Claimed(1, "entry", 1),
@@ -176,4 +178,4 @@
             records.Ended(1, "j1", 0, 0, 0, 1, "done", ""),
         ]
     )
-    assert book.jobs["j1"].occurrences[0][0].left == 1
+    assert replicated.jobs["j1"].occurrences[0][0].unfinished == 1
