--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_advice.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_advice.py
@@ -22,24 +22,24 @@
 EXPIRY_MARGIN_S = 0.3
 
 
-def ticket(node: Node, at: Moment, item: Any, worker_id: str) -> str:
+def valid_ticket(node: Node, at: Moment, item: Any, worker_id: str) -> str:
     """
     Give the ticket of a step for a worker.
 
     :param node: the instance.
-    :param at: the time.
+    :param step_index: the time.
     :param item: the step that is to be placed.
     :param worker_id: the worker.
     :returns: the ticket, or empty when there is none that is valid.
     """
-    advice = node.advice.get((item.job.id, item.occurrence, item.at))
+    advice = node.advice.get((item.job.id, item.occurrence, item.step_index))
     if advice is None:
         return ""
-    text, expires_s = advice.tickets.get(worker_id, ("", 0.0))
-    return text if at.now_s < expires_s else ""
+    ticket, expires_s = advice.tickets.get(worker_id, ("", 0.0))
+    return ticket if at.now_s < expires_s else ""
 
 
-def prefetch(
+def prefetch_tickets(
     node: Node, at: Moment, job: Job, occurrence: int, step: int, workers: list[str]
 ) -> None:
     """
@@ -47,22 +47,24 @@
     when it can.
 
     :param node: the instance.
-    :param at: the time.
+    :param step_index: the time.
     :param job: the job.
     :param occurrence: the occurrence.
     :param step: the step.
     :param workers: the workers, the best first.
     """
     if (job.id, occurrence, step) not in node.advice:
-        ask(node, at, job, occurrence, step, workers)
+        request_tickets(node, at, job, occurrence, step, workers)
 
 
-def ask(node: Node, at: Moment, job: Job, occurrence: int, step: int, workers: list[str]) -> None:
+def request_tickets(
+    node: Node, at: Moment, job: Job, occurrence: int, step: int, workers: list[str]
+) -> None:
     """
     Ask about workers on which a step would fit.
 
     :param node: the instance.
-    :param at: the time.
+    :param step_index: the time.
     :param job: the job.
     :param occurrence: the occurrence.
     :param step: the step.
@@ -73,11 +75,11 @@
         return
     if sum(other.is_asking for other in node.advice.values()) >= MAX_CALLS:
         return
-    named = [worker for worker in workers if worker not in advice.refused]
-    if not named:
+    candidates = [worker for worker in workers if worker not in advice.refused]
+    if not candidates:
         return
     advice.is_asking = True
-    emit(node, effects.Advise(job.id, occurrence, step, tuple(named[:WORKERS_PER_CALL])))
+    emit(node, effects.Advise(job.id, occurrence, step, tuple(candidates[:WORKERS_PER_CALL])))
 
 
 def on_answered(node: Node, at: Moment, event: events.AdviceAnswered) -> None:
@@ -85,7 +87,7 @@
     Take an answer of the advice service.
 
     :param node: the instance.
-    :param at: the time.
+    :param step_index: the time.
     :param event: the answer.
     """
     advice = node.advice.get((event.job, event.occurrence, event.step))
@@ -105,7 +107,7 @@
     node.plan_due = True
 
 
-def forget(node: Node) -> None:
+def prune(node: Node) -> None:
     """
     Drop what is known of steps of jobs that have ended.
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_sites.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_candidates.py
@@ -14,10 +14,10 @@
 # Jobs in a row that failed on a worker, after which it is tried with one task at a time.
 SUSPECT_FAILURES = 2
 # Workers that are slow or overdue are left out while at least this part of the pool is neither.
-SOUND_POOL_PART = 0.5
+MIN_HEALTHY_FRACTION = 0.5
 
 
-class Site(NamedTuple):
+class Candidate(NamedTuple):
     """
     A worker that takes tasks in this plan, and what it has free.
     """
@@ -26,7 +26,7 @@
     free: list[Room]
 
 
-def open_sites(node: Node, at: Moment, service: str) -> list[Site]:
+def pool_candidates(node: Node, at: Moment, service: str) -> list[Candidate]:
     """
     Give the workers of a pool that take tasks. Slow ones, and those that should have answered by
     now, are left out unless they are most of the pool.
@@ -36,16 +36,16 @@
     :param service: the pool.
     :returns: the workers with what they have free.
     """
-    sites = [
-        Site(worker, [_workers.free_room(node, worker)])
+    candidates = [
+        Candidate(worker, [_workers.free_resources(node, worker)])
         for worker in node.workers.values()
-        if worker.entry.service == service and takes_work(node, at, worker)
+        if worker.entry.service == service and accepts_tasks(node, at, worker)
     ]
-    sound = [site for site in sites if _is_sound(node, at, site.worker)]
-    return sound if len(sound) >= SOUND_POOL_PART * len(sites) else sites
+    healthy = [candidate for candidate in candidates if _is_healthy(node, at, candidate.worker)]
+    return healthy if len(healthy) >= MIN_HEALTHY_FRACTION * len(candidates) else candidates
 
 
-def _is_sound(node: Node, at: Moment, worker: Worker) -> bool:
+def _is_healthy(node: Node, at: Moment, worker: Worker) -> bool:
     return (
         at.now_s >= worker.slow_until_s
         and worker.entry.zone not in node.silent_zones
@@ -53,7 +53,7 @@
     )
 
 
-def takes_work(node: Node, at: Moment, worker: Worker) -> bool:
+def accepts_tasks(node: Node, at: Moment, worker: Worker) -> bool:
     """
     Tell whether tasks may be started on a worker now.
 
@@ -104,7 +104,7 @@
     return not step.label or step.label in worker.entry.labels
 
 
-def seat_counts(state: StepState) -> Counter[str]:
+def tasks_per_worker(state: StepState) -> Counter[str]:
     """
     Count the running tasks of a step by worker.
 
@@ -114,18 +114,18 @@
     return Counter(task.worker for task in state.tasks if task.status == _book.RUNNING)
 
 
-def with_room(state: StepState, sites: list[Site]) -> list[str]:
+def workers_with_capacity(state: StepState, candidates: list[Candidate]) -> list[str]:
     """
     Give the workers on which a task of a step would fit.
 
     :param state: the step.
-    :param sites: the workers to choose from.
+    :param candidates: the workers to choose from.
     :returns: their ids, those with the most free first.
     """
     fitting = [
-        site
-        for site in sites
-        if state.room.fits(site.free[0]) and has_label(state.step, site.worker)
+        candidate
+        for candidate in candidates
+        if state.room.fits(candidate.free[0]) and has_label(state.step, candidate.worker)
     ]
-    fitting.sort(key=lambda site: -site.free[0].millicores)
-    return [site.worker.id for site in fitting]
+    fitting.sort(key=lambda candidate: -candidate.free[0].millicores)
+    return [candidate.worker.id for candidate in fitting]
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_emptying.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_draining.py
@@ -2,7 +2,7 @@
 Takes tasks that last away from a worker that is to be emptied, within the budgets of their steps.
 """
 
-from . import _book, _runs, _sites
+from . import _book, _candidates, _runs
 from ._book import StepState, Task, occurrence_of
 from ._node import Moment, Node, Worker, log_line
 
@@ -10,7 +10,7 @@
 STOP_MARGIN_S = 2.0
 
 
-def move_lasting(node: Node, at: Moment, worker: Worker) -> None:
+def drain_long_running(node: Node, at: Moment, worker: Worker) -> None:
     """
     Stop tasks that last on a worker, as far as their steps can do without them for a while and
     there is room for them elsewhere.
@@ -25,9 +25,9 @@
         if not step.lasts or task.key in worker.stops or job.state in _book.FINAL_STATES:
             continue
         state = occurrence_of(job, task.key.occurrence)[task.key.step]
-        if not may_take_away(node, at, state):
+        if not may_evict(node, at, state):
             continue
-        if find_site(state, other_sites(node, at, worker)) is None:
+        if find_candidate(state, other_candidates(node, at, worker)) is None:
             continue
         log_line(
             node,
@@ -40,7 +40,7 @@
         _runs.send_stop(node, at, worker, task.key, task.run)
 
 
-def may_take_away(node: Node, at: Moment, state: StepState) -> bool:
+def may_evict(node: Node, at: Moment, state: StepState) -> bool:
     """
     Tell whether planned work may take one more task of a step that lasts away.
 
@@ -50,14 +50,14 @@
     :returns: whether its budget allows it.
     """
     # A stop that a former owner sent a moment ago does not show in the lists yet.
-    settled_s = node.ownership.claimed_s + node.bounds.stop_s + STOP_MARGIN_S
-    if at.now_s < settled_s:
+    former_stops_listed_s = node.ownership.claimed_s + node.bounds.stop_s + STOP_MARGIN_S
+    if at.now_s < former_stops_listed_s:
         return False
-    away = sum(not is_at_work(node, task) for task in state.tasks)
-    return away < state.step.max_unavailable
+    unavailable = sum(not is_available(node, task) for task in state.tasks)
+    return unavailable < state.step.max_unavailable
 
 
-def is_at_work(node: Node, task: Task) -> bool:
+def is_available(node: Node, task: Task) -> bool:
     """
     Tell whether a task that lasts was at work when its worker last answered, and is not being
     stopped.
@@ -74,7 +74,7 @@
     return is_up and task.key not in worker.stops
 
 
-def other_sites(node: Node, at: Moment, worker: Worker) -> list[_sites.Site]:
+def other_candidates(node: Node, at: Moment, worker: Worker) -> list[_candidates.Candidate]:
     """
     Give the workers to which tasks of a worker could go.
 
@@ -83,23 +83,27 @@
     :param worker: the worker.
     :returns: the others of its pool that take tasks.
     """
-    sites = _sites.open_sites(node, at, worker.entry.service)
-    return [site for site in sites if site.worker is not worker]
+    candidates = _candidates.pool_candidates(node, at, worker.entry.service)
+    return [candidate for candidate in candidates if candidate.worker is not worker]
 
 
-def find_site(state: StepState, sites: list[_sites.Site]) -> _sites.Site | None:
+def find_candidate(
+    state: StepState, candidates: list[_candidates.Candidate]
+) -> _candidates.Candidate | None:
     """
     Give a worker that has room for one more task of a step.
 
     :param state: the step.
-    :param sites: the workers to choose from.
+    :param candidates: the workers to choose from.
     :returns: the first that has, or ``None``.
     """
     step = state.step
-    seats = _sites.seat_counts(state)
-    for site in sites:
-        is_labelled = _sites.has_label(step, site.worker)
-        is_seated = not step.max_per_worker or seats[site.worker.id] < step.max_per_worker
-        if is_labelled and is_seated and state.room.fits(site.free[0]):
-            return site
+    running_counts = _candidates.tasks_per_worker(state)
+    for candidate in candidates:
+        matches_label = _candidates.has_label(step, candidate.worker)
+        within_spread = (
+            not step.max_per_worker or running_counts[candidate.worker.id] < step.max_per_worker
+        )
+        if matches_label and within_spread and state.room.fits(candidate.free[0]):
+            return candidate
     return None
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_instances.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_instances.py
@@ -6,7 +6,7 @@
 former one has ordered lately, and an owner gives no order unless the store has just confirmed it.
 """
 
-from . import _emptying, _registry, _runs, _sites, effects, events
+from . import _candidates, _draining, _registry, _runs, effects, events
 from ._book import InstanceOrder
 from ._journal import follow_with, write
 from ._node import Moment, Node, Worker, emit, log_line
@@ -15,8 +15,8 @@
 MAINTENANCE = "maintenance"
 MOVE = "move"
 # The list of instances is read this often while orders are out, and otherwise.
-BUSY_LIST_S = 0.5
-IDLE_LIST_S = 3.0
+BUSY_LIST_INTERVAL_S = 0.5
+IDLE_LIST_INTERVAL_S = 3.0
 # An order that was refused or not answered is tried again after this; one that was not sent, after
 # the second.
 ORDER_RETRY_S = 1.0
@@ -24,11 +24,11 @@
 # Orders without an answer at a time; each takes a connection.
 MAX_ORDERS = 20
 # Part of the rate of orders that the machine service takes; others may give some as well.
-ORDER_RATE_PART = 0.8
+ORDER_RATE_FRACTION = 0.8
 # Orders that were not given in this time may be made up for.
 ORDER_BURST_S = 0.2
 # An order is sent only this long after the store last confirmed the owner.
-CONFIRMED_S = 0.8
+MAX_CONFIRMATION_AGE_S = 0.8
 # Added to the time between orders of two owners, for clocks and queued packets.
 ORDER_MARGIN_S = 0.5
 # An instance that was ordered down this long ago is back, or listed as what it is.
@@ -44,15 +44,15 @@
     :param at: the time.
     """
     fleet = node.fleet
-    is_busy = bool(fleet.emptying or fleet.down or _has_doubts(node))
-    interval_s = BUSY_LIST_S if is_busy else IDLE_LIST_S
+    is_busy = bool(fleet.emptying or fleet.down or _has_unreachable_workers(node))
+    interval_s = BUSY_LIST_INTERVAL_S if is_busy else IDLE_LIST_INTERVAL_S
     if not fleet.is_listing and at.now_s - fleet.listed_s >= interval_s:
         fleet.is_listing = True
         fleet.listed_s = at.now_s
         emit(node, effects.ListInstances())
 
 
-def _has_doubts(node: Node) -> bool:
+def _has_unreachable_workers(node: Node) -> bool:
     return any(worker.is_failing for worker in node.workers.values())
 
 
@@ -77,12 +77,12 @@
             fleet.emptying.pop(instance, None)
             fleet.pool_of.pop(instance, None)
             log_line(node, "instance.back", instance=instance, is_listed=row is not None)
-    _forget_unlisted(node)
-    _end_stopped(node, at)
+    _drop_unlisted(node)
+    _end_stopped_workers(node, at)
     node.plan_due = True
 
 
-def _forget_unlisted(node: Node) -> None:
+def _drop_unlisted(node: Node) -> None:
     """
     Drop the plans for instances that are gone, which would hold up the rest of their wave.
     """
@@ -93,7 +93,7 @@
         log_line(node, "instance.gone", instance=instance, emptied_for=reason)
 
 
-def _end_stopped(node: Node, at: Moment) -> None:
+def _end_stopped_workers(node: Node, at: Moment) -> None:
     for worker in node.workers.values():
         if not worker.is_failing or worker.is_over:
             continue
@@ -107,10 +107,10 @@
         elif row.worker and row.worker != worker.id:
             _registry.end_life(node, at, worker, "instance_has_another_worker")
         elif row.state != UP:
-            _runs.lose_all(node, at, worker, f"instance_{row.state}")
+            _runs.mark_all_lost(node, at, worker, f"instance_{row.state}")
 
 
-def empty_instances(node: Node, at: Moment) -> None:
+def drain_instances(node: Node, at: Moment) -> None:
     """
     Go on emptying instances, and order those that are empty.
 
@@ -119,7 +119,7 @@
     """
     for worker in node.workers.values():
         if worker.entry.is_draining and worker.is_listed and not worker.is_failing:
-            _emptying.move_lasting(node, at, worker)
+            _draining.drain_long_running(node, at, worker)
     if node.registry.ok_s <= node.ownership.claimed_s:
         # Which workers the instances hold is not known yet.
         return
@@ -128,15 +128,19 @@
             continue
         for worker in _workers_on(node, instance):
             if worker.is_held and not worker.is_failing:
-                _emptying.move_lasting(node, at, worker)
-        if _may_run_something(node, instance):
+                _draining.drain_long_running(node, at, worker)
+        if _may_have_runs(node, instance):
             continue
-        is_time = at.now_s >= node.fleet.retry_s.get(instance, 0.0)
-        if is_time and _may_order_more(node, at) and _is_free_of_former(node, at, instance):
-            _order(node, at, instance, reason)
+        is_retry_due = at.now_s >= node.fleet.retry_s.get(instance, 0.0)
+        if (
+            is_retry_due
+            and _within_order_limits(node, at)
+            and _former_order_expired(node, at, instance)
+        ):
+            _order_instance(node, at, instance, reason)
 
 
-def _may_order_more(node: Node, at: Moment) -> bool:
+def _within_order_limits(node: Node, at: Moment) -> bool:
     """
     Tell whether the machine service takes one more order now.
     """
@@ -152,7 +156,7 @@
     ]
 
 
-def _may_run_something(node: Node, instance: str) -> bool:
+def _may_have_runs(node: Node, instance: str) -> bool:
     """
     Tell whether anything may run on an instance, whether its workers are listed or not: entries
     lapse while the store is away.
@@ -161,26 +165,26 @@
     if row is not None and row.worker and row.worker in node.book.running:
         return True
     return any(
-        _sites.is_busy(node, worker) or not (worker.is_held or worker.is_failing)
+        _candidates.is_busy(node, worker) or not (worker.is_held or worker.is_failing)
         for worker in _workers_on(node, instance)
     )
 
 
-def _is_free_of_former(node: Node, at: Moment, instance: str) -> bool:
+def _former_order_expired(node: Node, at: Moment, instance: str) -> bool:
     """
     Tell whether no former owner has given the instance an order lately, or still may.
     """
     order = node.book.orders.get(instance)
     if order is None or order.epoch == node.ownership.epoch:
         return True
-    age_s = least_age_s(node, at, order)
+    age_s = min_age_s(node, at, order)
     if not order.is_done:
         # It may have been sent until this owner's claim.
         age_s = min(age_s, at.now_s - node.ownership.claimed_s)
     return age_s > node.bounds.order_lease_s + ORDER_MARGIN_S
 
 
-def least_age_s(node: Node, at: Moment, order: InstanceOrder) -> float:
+def min_age_s(node: Node, at: Moment, order: InstanceOrder) -> float:
     """
     Give the time that has passed at least since an order was given, whatever clocks of day say.
 
@@ -192,11 +196,11 @@
     :param order: the order.
     :returns: seconds.
     """
-    by_log_s = node.book.log_s - order.log_s + at.now_s - node.book.log_read_s
-    return max(at.now_s - order.seen_s, by_log_s)
+    log_age_s = node.book.log_s - order.log_s + at.now_s - node.book.log_read_s
+    return max(at.now_s - order.seen_s, log_age_s)
 
 
-def _order(node: Node, at: Moment, instance: str, reason: str) -> None:
+def _order_instance(node: Node, at: Moment, instance: str, reason: str) -> None:
     wave, pool = -1, ""
     if reason == MAINTENANCE:
         wave = node.fleet.wave_of[instance]
@@ -204,7 +208,7 @@
         pool = node.fleet.pool_of[instance]
     node.fleet.in_flight[instance] = at.now_s
     earliest_s = max(node.fleet.next_order_s, at.now_s - ORDER_BURST_S)
-    node.fleet.next_order_s = earliest_s + 1 / (ORDER_RATE_PART * node.bounds.orders_per_s)
+    node.fleet.next_order_s = earliest_s + 1 / (ORDER_RATE_FRACTION * node.bounds.orders_per_s)
     epoch = node.ownership.epoch
     write(node, at, InstanceOrdered(epoch, instance, wave, pool, at.wall_ms))
     follow_with(node, effects.OrderInstance(instance, wave, pool, epoch))
@@ -219,7 +223,9 @@
     :param at: the time.
     :returns: whether an order may be sent now.
     """
-    return node.ownership.is_owner and at.now_s - node.ownership.confirmed_s <= CONFIRMED_S
+    return (
+        node.ownership.is_owner and at.now_s - node.ownership.confirmed_s <= MAX_CONFIRMATION_AGE_S
+    )
 
 
 def send_order(node: Node, at: Moment, effect: effects.OrderInstance) -> None:
@@ -276,7 +282,7 @@
         fleet.pool_of.pop(event.instance, None)
 
 
-def take_over(node: Node, at: Moment) -> None:
+def resume_orders(node: Node, at: Moment) -> None:
     """
     Go on with the orders of a former owner: those that may not have been carried out are sent
     again, and their instances stay empty until then.
@@ -295,6 +301,6 @@
             node.fleet.pool_of[instance] = order.pool
     # Any instance that was ordered a moment ago may be down still.
     for instance, order in node.book.orders.items():
-        if order.is_done and least_age_s(node, at, order) < RECENT_ORDER_S:
+        if order.is_done and min_age_s(node, at, order) < RECENT_ORDER_S:
             node.fleet.down[instance] = at.now_s
             node.fleet.emptying[instance] = MAINTENANCE
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_leases.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_leases.py
@@ -5,7 +5,7 @@
 from . import _journal, _ownership
 from ._node import Moment, Node, Worker, log_line
 from ._records import Ended
-from ._runs import LOST, lose_all, runs_on
+from ._runs import LOST, mark_all_lost, runs_on
 
 
 def clock_ms(worker: Worker, at_s: float) -> int:
@@ -37,7 +37,7 @@
         if worker.is_held and not worker.is_failing:
             continue
         if at.now_s > lease_over_s(node, worker):
-            lose_all(node, at, worker, "lease_expired")
+            mark_all_lost(node, at, worker, "lease_expired")
 
 
 def lease_over_s(node: Node, worker: Worker) -> float:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_operator.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_operator.py
@@ -6,7 +6,7 @@
 from ._node import Moment, Node, WaveState, emit, log_line
 
 # How long a read waits for news; bounds the age of what is known.
-WAIT_S = 1.0
+READ_WAIT_S = 1.0
 # A read that failed is tried again after this.
 RETRY_S = 0.15
 
@@ -22,7 +22,7 @@
     if operator.is_reading or at.now_s < operator.next_read_s:
         return
     operator.is_reading = True
-    emit(node, effects.ReadOperator(operator.cursor, WAIT_S))
+    emit(node, effects.ReadOperator(operator.cursor, READ_WAIT_S))
 
 
 def on_read(node: Node, at: Moment, event: events.OperatorRead) -> None:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_orders.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_orders.py
@@ -11,14 +11,14 @@
 from ._book import Task
 from ._node import NEVER_S, Moment, Node, Order, Worker, emit, log_line
 from ._records import Started
-from ._runs import end_run, runs_on, token_of
+from ._runs import end_run, fencing_token, runs_on
 
 # An order is void after this, so that one that is carried out late does no harm.
-ORDER_VALID_S = 2.5
+ORDER_TTL_S = 2.5
 # Orders to one worker that may be without an answer: each takes a connection.
 MAX_OUTSTANDING = 2
 # A worker that refused a start gets no other one for this long.
-REFUSED_PAUSE_S = 0.5
+REFUSED_BACKOFF_S = 0.5
 UNSENT = "unsent"
 REFUSED = "refused"
 
@@ -46,7 +46,7 @@
         run,
         job.spec.payload,
         0,
-        token_of(node, worker),
+        fencing_token(node, worker),
         task.saved,
         ticket,
     )
@@ -59,7 +59,7 @@
         run=run,
         worker=worker.id,
         age_s=round(at.now_s - job.seen_s, 3),
-        free_millicores=_workers.free_room(node, worker).millicores,
+        free_millicores=_workers.free_resources(node, worker).millicores,
         config=node.config.version if node.config else None,
     )
 
@@ -78,18 +78,18 @@
     if worker is None or task is None or order is None or order.run != effect.run:
         return
     job = node.book.jobs[effect.key.job]
-    is_open = not job.cancelled and job.state not in _book.FINAL_STATES
-    if not is_open or not worker.is_held or worker.is_failing or worker.entry.is_draining:
+    may_start = not job.cancelled and job.state not in _book.FINAL_STATES
+    if not may_start or not worker.is_held or worker.is_failing or worker.entry.is_draining:
         end_run(node, at, worker, task, UNSENT)
         return
     if worker.outstanding >= MAX_OUTSTANDING:
         worker.outbox.append(effect)
         return
     if not worker.outstanding:
-        worker.answer_due_s = at.now_s + _workers.ANSWER_S
+        worker.answer_due_s = at.now_s + _workers.ANSWER_TIMEOUT_S
     worker.outstanding += 1
     order.sent_s = at.now_s
-    order.lease_ms = _leases.clock_ms(worker, at.now_s + ORDER_VALID_S)
+    order.lease_ms = _leases.clock_ms(worker, at.now_s + ORDER_TTL_S)
     worker.granted_ms = max(worker.granted_ms, order.lease_ms)
     # The first hold after a start is what renews the lease and waits for the end.
     worker.next_hold_s = min(worker.next_hold_s, at.now_s)
@@ -98,7 +98,7 @@
         effect._replace(
             lease_ms=order.lease_ms,
             address=worker.entry.address,
-            token=token_of(node, worker),
+            token=fencing_token(node, worker),
         ),
     )
 
@@ -115,14 +115,14 @@
     if worker is None:
         return
     worker.outstanding -= 1
-    is_due = worker.outstanding > 0
-    worker.answer_due_s = at.now_s + _workers.ANSWER_S if is_due else NEVER_S
-    _take_answer(node, at, worker, event)
+    is_awaiting = worker.outstanding > 0
+    worker.answer_due_s = at.now_s + _workers.ANSWER_TIMEOUT_S if is_awaiting else NEVER_S
+    _apply_answer(node, at, worker, event)
     while worker.outbox and worker.outstanding < MAX_OUTSTANDING:
         send(node, at, worker.outbox.popleft())
 
 
-def _take_answer(node: Node, at: Moment, worker: Worker, event: events.StartAnswered) -> None:
+def _apply_answer(node: Node, at: Moment, worker: Worker, event: events.StartAnswered) -> None:
     task = runs_on(node, event.worker).get(event.key)
     if task is None or task.run != event.run:
         return
@@ -146,15 +146,15 @@
     )
     if event.outcome == events.UNKNOWN:
         order.unanswered_s = at.now_s
-        _workers.look(node, at, worker)
+        _workers.request_lists(node, at, worker)
         return
-    worker.closed_until_s = at.now_s + REFUSED_PAUSE_S
+    worker.closed_until_s = at.now_s + REFUSED_BACKOFF_S
     if event.outcome == events.UNSENT:
         worker.next_hold_s = at.now_s
     end_run(node, at, worker, task, UNSENT if event.outcome == events.UNSENT else REFUSED)
 
 
-def next_run(tasks: list[Task]) -> int:
+def next_run_number(tasks: list[Task]) -> int:
     """
     Give the number of the next run of tasks that start together.
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_planner.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_planner.py
@@ -7,43 +7,45 @@
 
 from collections import Counter
 
-from . import _advice, _book, _journal, _orders, _ready, _sites
+from . import _advice, _book, _candidates, _journal, _orders, _ready
 from ._book import Job, Task, occurrence_of
+from ._candidates import Candidate
 from ._node import Moment, Node, log_line
-from ._ready import Ready
+from ._ready import ReadyStep
 from ._runs import close_job
-from ._sites import Site
 from .model import NO_ROOM, Room, Step
 
 # A task of a suspect worker is tried this often.
-SUSPECT_PAUSE_S = 2.0
+SUSPECT_INTERVAL_S = 2.0
 # While tasks wait for room, plans are made this often; a fiftieth of the slack of short jobs.
-BUSY_INTERVAL_S = 0.02
+REPLAN_INTERVAL_S = 0.02
 
 
-class Pool:
+class PoolCandidates:
     """
     The workers of a pool in one plan.
 
-    :param sites: the workers that take tasks.
-    :param refused: rooms that no worker had free; what is free only becomes less in a plan.
+    :param candidates: the workers that take tasks.
+    :param unplaceable: rooms that no worker had free; what is free only becomes less in a plan.
     """
 
-    def __init__(self, sites: list[Site]) -> None:
+    def __init__(self, candidates: list[Candidate]) -> None:
         """
-        :param sites: the workers that take tasks.
+        :param candidates: the workers that take tasks.
         """
-        self.sites = sites
-        self.refused: list[Room] = []
+        self.candidates = candidates
+        self.unplaceable: list[Room] = []
 
-    def may_fit(self, room: Room) -> bool:
+    def may_fit(self, resources: Room) -> bool:
         """
         Tell whether a room is worth trying.
 
-        :param room: what a task needs.
+        :param resources: what a task needs.
         :returns: whether it needs less than what was refused, in one part at least.
         """
-        return bool(self.sites) and not any(former.fits(room) for former in self.refused)
+        return bool(self.candidates) and not any(
+            unplaced.fits(resources) for unplaced in self.unplaceable
+        )
 
 
 def plan(node: Node, at: Moment) -> None:
@@ -51,7 +53,7 @@
     Start what can be started.
 
     :param node: the instance, which owns the log.
-    :param at: the time.
+    :param step_index: the time.
     """
     if node.config is None or at.now_s < node.next_plan_s:
         return
@@ -60,27 +62,29 @@
     if _journal.is_stalled(node, at.now_s):
         node.plan_due = True
         return
-    pools: dict[str, Pool] = {}
-    ready: list[Ready] = []
+    pools: dict[str, PoolCandidates] = {}
+    ready: list[ReadyStep] = []
     for item, may_start in _ready.waiting_steps(node, at):
         if may_start:
             ready.append(item)
         else:
-            _prefetch(node, at, item, _pool(node, at, pools, item))
-    ready.sort(key=lambda item: item.order)
+            _prefetch(node, at, item, _candidates_of_pool(node, at, pools, item))
+    ready.sort(key=lambda item: item.sort_key)
     for item in ready:
-        pool = _pool(node, at, pools, item)
+        pool = _candidates_of_pool(node, at, pools, item)
         if pool.may_fit(item.state.room):
             _place_step(node, at, item, pool)
-    if any(pool.refused for pool in pools.values()):
-        node.next_plan_s = at.now_s + BUSY_INTERVAL_S
+    if any(pool.unplaceable for pool in pools.values()):
+        node.next_plan_s = at.now_s + REPLAN_INTERVAL_S
 
 
-def _pool(node: Node, at: Moment, pools: dict[str, Pool], item: Ready) -> Pool:
+def _candidates_of_pool(
+    node: Node, at: Moment, pools: dict[str, PoolCandidates], item: ReadyStep
+) -> PoolCandidates:
     service = item.queue.service
     pool = pools.get(service)
     if pool is None:
-        pool = pools[service] = Pool(_sites.open_sites(node, at, service))
+        pool = pools[service] = PoolCandidates(_candidates.pool_candidates(node, at, service))
     return pool
 
 
@@ -89,39 +93,39 @@
         close_job(node, at, job, _book.CANCELLED)
 
 
-def _prefetch(node: Node, at: Moment, item: Ready, pool: Pool) -> None:
-    workers = _sites.with_room(item.state, pool.sites)
-    _advice.prefetch(node, at, item.job, item.occurrence, item.at, workers)
+def _prefetch(node: Node, at: Moment, item: ReadyStep, pool: PoolCandidates) -> None:
+    workers = _candidates.workers_with_capacity(item.state, pool.candidates)
+    _advice.prefetch_tickets(node, at, item.job, item.occurrence, item.step_index, workers)
 
 
-def _place_step(node: Node, at: Moment, item: Ready, pool: Pool) -> None:
+def _place_step(node: Node, at: Moment, item: ReadyStep, pool: PoolCandidates) -> None:
     waiting = [task for task in item.state.tasks if task.status == _book.WAITING]
     if item.state.step.gang:
         _place_gang(node, at, item, waiting, pool)
         return
     allowed = within_limit(node, item.job, item.state.step, len(waiting))
-    home = _home_zone(node, item, pool.sites)
-    site: Site | None = None
+    preferred_zone = _preferred_zone(node, item, pool.candidates)
+    candidate: Candidate | None = None
     for task in waiting[:allowed]:
-        if site is None or not _takes_another(node, item, task, site):
-            site = _choose(node, at, item, task, pool, home)
-        if site is None:
+        if candidate is None or not _can_reuse_candidate(node, item, task, candidate):
+            candidate = _choose_worker(node, at, item, task, pool, preferred_zone)
+        if candidate is None:
             return
-        _start(node, at, item, task, site, _orders.next_run([task]))
+        _start(node, at, item, task, candidate, _orders.next_run_number([task]))
 
 
-def _takes_another(node: Node, item: Ready, task: Task, site: Site) -> bool:
+def _can_reuse_candidate(node: Node, item: ReadyStep, task: Task, candidate: Candidate) -> bool:
     """
     Tell whether the worker that took the last task is the best for the next one as well: it has the
     least room left, so it is, as long as nothing else than its room decides.
     """
     step = item.state.step
-    is_plain = not step.max_per_worker and not item.queue.has_advice
-    is_welcome = task.key not in node.avoid and not _sites.is_suspect(site.worker)
-    return is_plain and is_welcome and item.state.room.fits(site.free[0])
+    only_capacity_decides = not step.max_per_worker and not item.queue.has_advice
+    is_preferred = task.key not in node.avoid and not _candidates.is_suspect(candidate.worker)
+    return only_capacity_decides and is_preferred and item.state.room.fits(candidate.free[0])
 
 
-def _home_zone(node: Node, item: Ready, sites: list[Site]) -> str:
+def _preferred_zone(node: Node, item: ReadyStep, candidates: list[Candidate]) -> str:
     """
     Give the availability zone for the tasks of a step: that of the job's other tasks, else the one
     with the most room. A zone that is lost then takes few jobs with it.
@@ -136,72 +140,80 @@
             if task.status == _book.RUNNING and worker is not None:
                 return worker.entry.zone
     free: Counter[str] = Counter()
-    for site in sites:
-        free[site.worker.entry.zone] += site.free[0].millicores
+    for candidate in candidates:
+        free[candidate.worker.entry.zone] += candidate.free[0].millicores
     return max(free, key=lambda zone: (free[zone], zone), default="")
 
 
-def _place_gang(node: Node, at: Moment, item: Ready, waiting: list[Task], pool: Pool) -> None:
+def _place_gang(
+    node: Node, at: Moment, item: ReadyStep, waiting: list[Task], pool: PoolCandidates
+) -> None:
     # Members that still run belong to the former try; the gang starts again when all have ended.
     if len(waiting) < item.state.step.count:
         return
     if within_limit(node, item.job, item.state.step, len(waiting)) < len(waiting):
         return
-    taken = _seats_of_gang(node, at, item, waiting, pool.sites)
-    if len(taken) < len(waiting):
+    assigned = _assign_gang(node, at, item, waiting, pool.candidates)
+    if len(assigned) < len(waiting):
         return
-    run = _orders.next_run(waiting)
+    run = _orders.next_run_number(waiting)
     saved = next((task.saved for task in waiting if task.saved), "")
-    for task, site in zip(waiting, taken, strict=True):
+    for task, candidate in zip(waiting, assigned, strict=True):
         task.saved = saved
-        _start(node, at, item, task, site, run)
+        _start(node, at, item, task, candidate, run)
 
 
-def _seats_of_gang(
-    node: Node, at: Moment, item: Ready, waiting: list[Task], sites: list[Site]
-) -> list[Site]:
+def _assign_gang(
+    node: Node, at: Moment, item: ReadyStep, waiting: list[Task], candidates: list[Candidate]
+) -> list[Candidate]:
     """
     Give a worker for each member, on one rack if that is asked for and one has room; fewer when
     there is no room for all.
     """
-    taken: list[Site] = []
-    for rack in _racks(item.state.step, sites):
+    assigned: list[Candidate] = []
+    for rack in _racks_to_try(item.state.step, candidates):
         # Tried on copies, since the members count against what is free only once all have room.
-        tried = [
-            Site(site.worker, list(site.free))
-            for site in sites
-            if rack in ("", site.worker.entry.rack)
+        trial = [
+            Candidate(candidate.worker, list(candidate.free))
+            for candidate in candidates
+            if rack in ("", candidate.worker.entry.rack)
         ]
-        taken = _seats(node, at, item, waiting, tried)
-        if len(taken) == len(waiting):
+        assigned = _assign_members(node, at, item, waiting, trial)
+        if len(assigned) == len(waiting):
             break
-    by_id = {site.worker.id: site for site in sites}
-    return [by_id[site.worker.id] for site in taken]
+    by_id = {candidate.worker.id: candidate for candidate in candidates}
+    return [by_id[candidate.worker.id] for candidate in assigned]
 
 
-def _racks(step: Step, sites: list[Site]) -> list[str]:
+def _racks_to_try(step: Step, candidates: list[Candidate]) -> list[str]:
     """
     Give the racks to try a gang on; the empty name stands for all of them together.
     """
-    racks = sorted({site.worker.entry.rack for site in sites}) if step.same_rack else []
+    racks = (
+        sorted({candidate.worker.entry.rack for candidate in candidates}) if step.same_rack else []
+    )
     return [*racks, ""]
 
 
-def _seats(
-    node: Node, at: Moment, item: Ready, waiting: list[Task], sites: list[Site]
-) -> list[Site]:
-    taken: list[Site] = []
-    seats: Counter[str] = Counter()
-    bound = item.state.step.max_per_worker
+def _assign_members(
+    node: Node, at: Moment, item: ReadyStep, waiting: list[Task], candidates: list[Candidate]
+) -> list[Candidate]:
+    assigned: list[Candidate] = []
+    assigned_per_worker: Counter[str] = Counter()
+    max_per_worker = item.state.step.max_per_worker
     for task in waiting:
-        usable = [s for s in sites if not bound or seats[s.worker.id] < bound]
-        site = _choose(node, at, item, task, Pool(usable))
-        if site is None:
+        usable = [
+            s
+            for s in candidates
+            if not max_per_worker or assigned_per_worker[s.worker.id] < max_per_worker
+        ]
+        candidate = _choose_worker(node, at, item, task, PoolCandidates(usable))
+        if candidate is None:
             break
-        seats[site.worker.id] += 1
-        site.free[0] = site.free[0].minus(item.state.room)
-        taken.append(site)
-    return taken
+        assigned_per_worker[candidate.worker.id] += 1
+        candidate.free[0] = candidate.free[0].minus(item.state.room)
+        assigned.append(candidate)
+    return assigned
 
 
 def within_limit(node: Node, job: Job, step: Step, count: int) -> int:
@@ -224,49 +236,56 @@
     return count
 
 
-def _choose(
-    node: Node, at: Moment, item: Ready, task: Task, pool: Pool, home: str = ""
-) -> Site | None:
-    step, room = item.state.step, item.state.room
+def _choose_worker(
+    node: Node,
+    at: Moment,
+    item: ReadyStep,
+    task: Task,
+    pool: PoolCandidates,
+    preferred_zone: str = "",
+) -> Candidate | None:
+    step, resources = item.state.step, item.state.room
     avoid = node.avoid.get(task.key, ())
-    counts = _sites.seat_counts(item.state) if step.max_per_worker else None
-    best: Site | None = None
+    counts = _candidates.tasks_per_worker(item.state) if step.max_per_worker else None
+    best: Candidate | None = None
     best_score: tuple[float, ...] = ()
-    had_room = False
-    for site in pool.sites:
-        worker = site.worker
-        if not room.fits(site.free[0]):
+    has_capacity = False
+    for candidate in pool.candidates:
+        worker = candidate.worker
+        if not resources.fits(candidate.free[0]):
             continue
-        had_room = True
-        if not _sites.has_label(step, worker):
+        has_capacity = True
+        if not _candidates.has_label(step, worker):
             continue
         if counts is not None and counts[worker.id] >= step.max_per_worker:
             continue
-        if item.queue.has_advice and not _advice.ticket(node, at, item, worker.id):
+        if item.queue.has_advice and not _advice.valid_ticket(node, at, item, worker.id):
             continue
         score = (
             worker.id not in avoid,
-            not _sites.is_suspect(worker),
+            not _candidates.is_suspect(worker),
             not step.data_rack or step.data_rack == worker.entry.rack,
-            not home or worker.entry.zone == home,
+            not preferred_zone or worker.entry.zone == preferred_zone,
             # Packed, so that instances become empty and can be maintained or moved.
-            -site.free[0].millicores,
+            -candidate.free[0].millicores,
         )
         if best is None or score > best_score:
-            best, best_score = site, score
-    if not had_room:
-        pool.refused.append(room)
+            best, best_score = candidate, score
+    if not has_capacity:
+        pool.unplaceable.append(resources)
     elif best is None and item.queue.has_advice:
-        workers = _sites.with_room(item.state, pool.sites)
-        _advice.ask(node, at, item.job, item.occurrence, item.at, workers)
+        workers = _candidates.workers_with_capacity(item.state, pool.candidates)
+        _advice.request_tickets(node, at, item.job, item.occurrence, item.step_index, workers)
     return best
 
 
-def _start(node: Node, at: Moment, item: Ready, task: Task, site: Site, run: int) -> None:
-    worker = site.worker
-    ticket = _advice.ticket(node, at, item, worker.id) if item.queue.has_advice else ""
+def _start(
+    node: Node, at: Moment, item: ReadyStep, task: Task, candidate: Candidate, run: int
+) -> None:
+    worker = candidate.worker
+    ticket = _advice.valid_ticket(node, at, item, worker.id) if item.queue.has_advice else ""
     _orders.start(node, at, worker, task, run, ticket)
-    site.free[0] = site.free[0].minus(item.state.room)
-    if _sites.is_suspect(worker):
-        worker.closed_until_s = at.now_s + SUSPECT_PAUSE_S
+    candidate.free[0] = candidate.free[0].minus(item.state.room)
+    if _candidates.is_suspect(worker):
+        worker.closed_until_s = at.now_s + SUSPECT_INTERVAL_S
         log_line(node, "worker.suspect", worker=worker.id, failed_jobs=list(worker.failed_jobs))
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_pools.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_pools.py
@@ -12,37 +12,37 @@
 
 import msgspec
 
-from . import _book, _ready, _sites
+from . import _book, _candidates, _ready
 from ._book import occurrence_of
 from ._instances import MOVE, UP
 from ._node import Moment, Node, Worker, log_line
 from .model import Room
 
 # Work that waits is met as if it were to be worked off at once; of later steps, this part.
-LATER_PART = 0.5
+BLOCKED_STEP_WEIGHT = 0.5
 # Empty instances that each pool keeps beyond its need, for the first work of a turn, which comes
 # before more instances can.
 MIN_RESERVE = 2
 # The same as a part of an even share of all instances, since the turns of large pools rise by more
 # instances while the first ones move.
-RESERVE_PART = 1 / 4
+RESERVE_FRACTION = 1 / 4
 # A pool has to be too large for this long before it gives an instance away: as long as an idle
 # instance costs as much as the two moves of its return.
-SURPLUS_S = 2.0
+SURPLUS_DELAY_S = 2.0
 MOVING = "moving"
 # Pools are looked at this often.
-INTERVAL_S = 0.1
+RESIZE_INTERVAL_S = 0.1
 
 
-class Demand(NamedTuple):
+class PoolDemand(NamedTuple):
     """
     What the queues of a pool need.
 
-    :param lasting: instances that hold tasks that last.
+    :param long_running: instances that hold tasks that last.
     :param millicores: for work that runs, waits or is about to come.
     """
 
-    lasting: int
+    long_running: int
     millicores: float
 
 
@@ -67,28 +67,28 @@
     """
     if at.now_s < node.pools_s or node.config is None or not node.fleet.rows:
         return
-    node.pools_s = at.now_s + INTERVAL_S
+    node.pools_s = at.now_s + RESIZE_INTERVAL_S
     standby = next((s.name for s in node.config.services.values() if s.is_standby), None)
-    if standby is None or not _is_settled(node, at):
+    if standby is None or not _is_state_known(node, at):
         return
     demands = _demands(node)
-    members = _members(node, at)
+    members = _count_members(node, at)
     sizes: dict[str, int] = {}
     for name, service in node.config.services.items():
         if service.is_standby:
             continue
         state = node.pools.setdefault(name, PoolState())
-        state.wanted = _wanted(node, demands[name])
+        state.wanted = _wanted_size(node, demands[name])
         sizes[name] = members[name]
     for name in sorted(sizes, key=lambda pool: sizes[pool] - node.pools[pool].wanted):
-        short = node.pools[name].wanted - sizes[name]
-        for _ in range(max(0, short)):
-            if not _bring(node, at, name, standby, sizes):
+        shortage = node.pools[name].wanted - sizes[name]
+        for _ in range(max(0, shortage)):
+            if not _add_instance(node, at, name, standby, sizes):
                 break
-    _release(node, at, standby, sizes)
+    _release_surplus(node, at, standby, sizes)
 
 
-def _is_settled(node: Node, at: Moment) -> bool:
+def _is_state_known(node: Node, at: Moment) -> bool:
     """
     Tell whether every worker has answered this owner, or has failed to.
     """
@@ -99,8 +99,8 @@
     return is_known and is_listed and bool(node.workers)
 
 
-def _demands(node: Node) -> dict[str, Demand]:
-    lasting: dict[str, set[str]] = defaultdict(set)
+def _demands(node: Node) -> dict[str, PoolDemand]:
+    long_running: dict[str, set[str]] = defaultdict(set)
     millicores: dict[str, float] = defaultdict(float)
     for worker_id, runs in node.book.running.items():
         worker = node.workers.get(worker_id)
@@ -110,35 +110,35 @@
         millicores[service] += node.book.load.get(worker_id, Room()).millicores
         for key in runs:
             if node.book.jobs[key.job].spec.steps[key.step].lasts:
-                lasting[service].add(worker_id)
+                long_running[service].add(worker_id)
     for job in node.book.open_jobs.values():
         queue = _ready.queue_of(node, job)
         if queue is not None:
-            millicores[queue.service] += _waiting(job)
+            millicores[queue.service] += _waiting_millicores(job)
     return defaultdict(
-        lambda: Demand(0, 0.0),
+        lambda: PoolDemand(0, 0.0),
         {
-            service: Demand(
-                len(lasting[service]),
+            service: PoolDemand(
+                len(long_running[service]),
                 millicores[service],
             )
-            for service in {*lasting, *millicores}
+            for service in {*long_running, *millicores}
         },
     )
 
 
-def _waiting(job: _book.Job) -> float:
+def _waiting_millicores(job: _book.Job) -> float:
     millicores = 0.0
     for number in job.occurrences or (0,):
         for index, state in enumerate(occurrence_of(job, number)):
             if not state.waiting:
                 continue
-            part = 1.0 if _book.is_released(job, number, index) else LATER_PART
-            millicores += part * state.waiting * state.room.millicores
+            weight = 1.0 if _book.is_released(job, number, index) else BLOCKED_STEP_WEIGHT
+            millicores += weight * state.waiting * state.room.millicores
     return millicores
 
 
-def _members(node: Node, at: Moment) -> dict[str, int]:
+def _count_members(node: Node, at: Moment) -> dict[str, int]:
     """
     Count the instances of each pool, with those that are on their way there.
     """
@@ -149,61 +149,61 @@
             members[fleet.pool_of[row.instance]] += 1
         elif row.state in (UP, MOVING) and row.instance not in fleet.emptying:
             worker = node.workers.get(row.worker)
-            if worker is None or _counts(worker, at):
+            if worker is None or _is_usable(worker, at):
                 members[row.pool] += 1
     return members
 
 
-def _counts(worker: Worker, at: Moment) -> bool:
+def _is_usable(worker: Worker, at: Moment) -> bool:
     is_slow = at.now_s < worker.slow_until_s
     return not (worker.entry.is_draining or worker.is_failing or is_slow)
 
 
-def _wanted(node: Node, demand: Demand) -> int:
+def _wanted_size(node: Node, demand: PoolDemand) -> int:
     sizes = [row.capacity.millicores for row in node.fleet.rows.values()]
     size = sum(sizes) / len(sizes)
     services = node.config.services if node.config else {}
     even_share = len(sizes) / max(1, len(services))
-    reserve = max(MIN_RESERVE, math.ceil(even_share * RESERVE_PART))
+    reserve = max(MIN_RESERVE, math.ceil(even_share * RESERVE_FRACTION))
     return math.ceil(demand.millicores / size) + reserve
 
 
-def _bring(node: Node, at: Moment, pool: str, standby: str, sizes: dict[str, int]) -> bool:
+def _add_instance(node: Node, at: Moment, pool: str, standby: str, sizes: dict[str, int]) -> bool:
     instance = _standby_instance(node, standby) or _surplus_instance(node, pool, sizes)
     if instance is None:
         return False
-    _move(node, at, instance, pool)
+    _start_move(node, at, instance, pool)
     sizes[pool] += 1
     return True
 
 
 def _standby_instance(node: Node, standby: str) -> str | None:
     for row in node.fleet.rows.values():
-        if row.pool == standby and row.state == UP and _is_free(node, row.instance):
+        if row.pool == standby and row.state == UP and _is_unassigned(node, row.instance):
             return row.instance
     return None
 
 
-def _is_free(node: Node, instance: str) -> bool:
+def _is_unassigned(node: Node, instance: str) -> bool:
     fleet = node.fleet
-    is_taken = instance in fleet.emptying or instance in fleet.down
-    return not is_taken and instance not in fleet.in_flight
+    is_assigned = instance in fleet.emptying or instance in fleet.down
+    return not is_assigned and instance not in fleet.in_flight
 
 
 def _surplus_instance(node: Node, pool: str, sizes: dict[str, int]) -> str | None:
     """
     Give an empty instance of the pool that can best do without it.
     """
-    best = max(
+    donor = max(
         (name for name in sizes if name != pool),
         key=lambda name: sizes[name] - node.pools[name].wanted,
         default=None,
     )
-    if best is None or sizes[best] - node.pools[best].wanted < 1:
+    if donor is None or sizes[donor] - node.pools[donor].wanted < 1:
         return None
-    instance = _empty_instance(node, best)
+    instance = _empty_instance(node, donor)
     if instance is not None:
-        sizes[best] -= 1
+        sizes[donor] -= 1
     return instance
 
 
@@ -211,16 +211,16 @@
     for worker in node.workers.values():
         if worker.entry.service != pool or not worker.is_listed or not worker.is_held:
             continue
-        if worker.is_failing or worker.entry.is_draining or _sites.is_busy(node, worker):
+        if worker.is_failing or worker.entry.is_draining or _candidates.is_busy(node, worker):
             continue
         row = node.fleet.rows.get(worker.entry.instance)
         is_up = row is not None and row.state == UP and row.pool == pool
-        if is_up and _is_free(node, worker.entry.instance):
+        if is_up and _is_unassigned(node, worker.entry.instance):
             return worker.entry.instance
     return None
 
 
-def _release(
+def _release_surplus(
     node: Node,
     at: Moment,
     standby: str,
@@ -233,17 +233,17 @@
             continue
         if state.surplus_since_s is None:
             state.surplus_since_s = at.now_s
-        if at.now_s - state.surplus_since_s < SURPLUS_S:
+        if at.now_s - state.surplus_since_s < SURPLUS_DELAY_S:
             continue
         for _ in range(sizes[name] - state.wanted):
             instance = _empty_instance(node, name)
             if instance is None:
                 break
             sizes[name] -= 1
-            _move(node, at, instance, standby)
+            _start_move(node, at, instance, standby)
 
 
-def _move(node: Node, at: Moment, instance: str, pool: str) -> None:
+def _start_move(node: Node, at: Moment, instance: str, pool: str) -> None:
     row = node.fleet.rows[instance]
     node.fleet.emptying[instance] = MOVE
     node.fleet.pool_of[instance] = pool
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_progress.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_progress.py
@@ -6,7 +6,7 @@
 A task is moved only when it would end sooner elsewhere and there is room for it.
 """
 
-from . import _book, _emptying, _runs
+from . import _book, _draining, _runs
 from ._book import StepState, Task, find_task, occurrence_of
 from ._node import Moment, Node, RunProgress, Worker, log_line
 from .model import RunRow
@@ -14,25 +14,25 @@
 # Progress is compared over at least this long, since the shortest tasks take some tenths of a
 # second, and over at least so many points at the task's best speed, since lists give whole
 # percents; but after the longest time in any case.
-LEAST_WINDOW_S = 0.2
-LEAST_POINTS = 5.0
-MOST_WINDOW_S = 1.0
+MIN_WINDOW_S = 0.2
+MIN_WINDOW_PERCENT = 5.0
+MAX_WINDOW_S = 1.0
 # A task that has made no progress since its start for this long stands still.
-STILL_S = 0.6
+STALLED_S = 0.6
 # Part of its own best speed below which a task is slow.
-SLOW_PART = 0.4
+SLOW_FRACTION_OF_BEST = 0.4
 # The same against the fastest task of its step, whose sizes differ by some tenths.
-SLOW_PART_OF_STEP = 0.3
+SLOW_FRACTION_OF_STEP = 0.3
 # A worker of whose tasks this part is slow is slow itself.
-SLOW_TASKS_PART = 0.5
+SLOW_TASKS_FRACTION = 0.5
 # A slow worker gets no new task for this long after the last sign of it.
 SLOW_PAUSE_S = 2.0
 # What a move costs: the stop, its entry in the log and the order to start again.
-MOVE_S = 0.5
+MOVE_COST_S = 0.5
 # The time left has to exceed that of a fresh start by this factor, since both are estimates.
 GAIN_FACTOR = 1.3
 # The least speed that is reckoned with, in percent a second.
-LEAST_RATE = 0.5
+MIN_PERCENT_PER_S = 0.5
 
 
 def on_rows(node: Node, at: Moment, worker: Worker) -> None:
@@ -52,15 +52,15 @@
     for key in worker.progress.keys() - keys:
         del worker.progress[key]
     for task, row in watched:
-        _measure(node, worker, task, row)
+        _update_rate(node, worker, task, row)
     slow = [task for task, _row in watched if _is_slow(node, worker, task)]
-    if not slow or len(slow) < SLOW_TASKS_PART * len(watched):
+    if not slow or len(slow) < SLOW_TASKS_FRACTION * len(watched):
         return
     if at.now_s >= worker.slow_until_s:
         log_line(node, "worker.slow", worker=worker.id, slow=len(slow), watched=len(watched))
     worker.slow_until_s = at.now_s + SLOW_PAUSE_S
     node.plan_due = True
-    _move_away(node, at, worker, slow)
+    _move_slow_tasks(node, at, worker, slow)
 
 
 def _watched_task(node: Node, worker: Worker, row: RunRow) -> Task | None:
@@ -73,26 +73,26 @@
     return None if step.lasts or step.is_backfill else task
 
 
-def _measure(node: Node, worker: Worker, task: Task, row: RunRow) -> None:
+def _update_rate(node: Node, worker: Worker, task: Task, row: RunRow) -> None:
     progress = worker.progress.get(task.key)
     # The worker's clock tells when it made the list, however late the list was read.
     now_s = worker.clock_ms / 1000
     if progress is None or progress.run != row.run:
         worker.progress[task.key] = RunProgress(row.run, row.percent, now_s)
         return
-    passed_s = now_s - progress.at_s
-    is_short = progress.best_rate * passed_s < LEAST_POINTS and progress.best_rate
-    if passed_s < LEAST_WINDOW_S or (is_short and passed_s < MOST_WINDOW_S):
+    elapsed_s = now_s - progress.at_s
+    is_too_short = progress.best_rate * elapsed_s < MIN_WINDOW_PERCENT and progress.best_rate
+    if elapsed_s < MIN_WINDOW_S or (is_too_short and elapsed_s < MAX_WINDOW_S):
         return
-    progress.rate = (row.percent - progress.percent) / passed_s
+    progress.rate = (row.percent - progress.percent) / elapsed_s
     progress.best_rate = max(progress.best_rate, progress.rate)
-    progress.still_s = progress.still_s + passed_s if row.percent == progress.percent else 0.0
+    progress.still_s = progress.still_s + elapsed_s if row.percent == progress.percent else 0.0
     progress.percent, progress.at_s = row.percent, now_s
     step = task.key[:3]
     node.best_rates[step] = max(node.best_rates.get(step, 0.0), progress.rate)
 
 
-def _state_of(node: Node, task: Task) -> StepState:
+def _step_state(node: Node, task: Task) -> StepState:
     job = node.book.jobs[task.key.job]
     return occurrence_of(job, task.key.occurrence)[task.key.step]
 
@@ -102,22 +102,22 @@
     if progress.rate is None:
         return False
     return (
-        progress.still_s >= STILL_S
-        or progress.rate < SLOW_PART * progress.best_rate
-        or progress.rate < SLOW_PART_OF_STEP * node.best_rates[task.key[:3]]
+        progress.still_s >= STALLED_S
+        or progress.rate < SLOW_FRACTION_OF_BEST * progress.best_rate
+        or progress.rate < SLOW_FRACTION_OF_STEP * node.best_rates[task.key[:3]]
     )
 
 
-def _move_away(node: Node, at: Moment, worker: Worker, slow: list[Task]) -> None:
-    free = _emptying.other_sites(node, at, worker)
+def _move_slow_tasks(node: Node, at: Moment, worker: Worker, slow: list[Task]) -> None:
+    candidates = _draining.other_candidates(node, at, worker)
     for task in slow:
-        state = _state_of(node, task)
-        if state.step.gang or not _ends_sooner_elsewhere(node, worker, task, state):
+        state = _step_state(node, task)
+        if state.step.gang or not _finishes_sooner_elsewhere(node, worker, task, state):
             continue
-        site = _emptying.find_site(state, free)
-        if site is None:
+        candidate = _draining.find_candidate(state, candidates)
+        if candidate is None:
             continue
-        site.free[0] = site.free[0].minus(state.room)
+        candidate.free[0] = candidate.free[0].minus(state.room)
         progress = worker.progress[task.key]
         log_line(
             node,
@@ -135,20 +135,20 @@
         _runs.send_stop(node, at, worker, task.key, task.run)
 
 
-def _ends_sooner_elsewhere(node: Node, worker: Worker, task: Task, state: StepState) -> bool:
+def _finishes_sooner_elsewhere(node: Node, worker: Worker, task: Task, state: StepState) -> bool:
     progress = worker.progress[task.key]
     best_rate = node.best_rates[task.key[:3]]
-    left = 100 - progress.percent
-    here_s = left / max(LEAST_RATE, progress.rate or 0.0)
+    remaining = 100 - progress.percent
+    remaining_here_s = remaining / max(MIN_PERCENT_PER_S, progress.rate or 0.0)
     if not best_rate:
         # Nothing is known of its speed elsewhere but that it has none here.
-        elsewhere_s = state.step.estimate_ms / 1000
+        remaining_elsewhere_s = state.step.estimate_ms / 1000
     else:
-        elsewhere_s = (left if state.step.saves else 100) / best_rate
-    return here_s > GAIN_FACTOR * elsewhere_s + MOVE_S
+        remaining_elsewhere_s = (remaining if state.step.saves else 100) / best_rate
+    return remaining_here_s > GAIN_FACTOR * remaining_elsewhere_s + MOVE_COST_S
 
 
-def forget(node: Node) -> None:
+def prune(node: Node) -> None:
     """
     Drop what is known of steps of jobs that have ended.
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ready.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ready.py
@@ -14,28 +14,28 @@
 from .model import Queue, Step
 
 
-class Ready(NamedTuple):
+class ReadyStep(NamedTuple):
     """
     A step that has tasks to start.
 
-    :param order: what goes first, the least before the others.
+    :param sort_key: what goes first, the least before the others.
     """
 
-    order: tuple[float, ...]
+    sort_key: tuple[float, ...]
     job: Job
     queue: Queue
     occurrence: int
-    at: int
+    step_index: int
     state: StepState
 
 
-def waiting_steps(node: Node, at: Moment) -> Iterator[tuple[Ready, bool]]:
+def waiting_steps(node: Node, at: Moment) -> Iterator[tuple[ReadyStep, bool]]:
     """
     Give the steps that have tasks without a run, and whether these may start.
 
     :param node: the instance.
     :param at: the time.
-    :returns: the steps, in no order; those that may not start yet have an empty `Ready.order`.
+    :returns: the steps, in no order; those that may not start yet have an empty `ReadyStep.sort_key`.
     """
     for job in node.book.open_jobs.values():
         queue = queue_of(node, job)
@@ -46,10 +46,10 @@
                 if not state.waiting:
                     continue
                 if is_released(job, number, index):
-                    order = _order(job, queue, number, index, at)
-                    yield Ready(order, job, queue, number, index, state), True
+                    sort_key = _sort_key(job, queue, number, index, at)
+                    yield ReadyStep(sort_key, job, queue, number, index, state), True
                 elif queue.has_advice:
-                    yield Ready((), job, queue, number, index, state), False
+                    yield ReadyStep((), job, queue, number, index, state), False
 
 
 def queue_of(node: Node, job: Job) -> Queue | None:
@@ -78,7 +78,7 @@
         yield number
 
 
-def chains_s(steps: tuple[Step, ...]) -> tuple[float, ...]:
+def critical_paths_s(steps: tuple[Step, ...]) -> tuple[float, ...]:
     """
     Give the longest chain of work by declared durations, for each step the one that begins with
     steps numbered before it left out.
@@ -86,19 +86,19 @@
     :param steps: the steps of a job.
     :returns: seconds for each step; the first is that of the whole job.
     """
-    return tuple(_chain_s(steps, first) for first in range(len(steps)))
+    return tuple(_critical_path_s(steps, first) for first in range(len(steps)))
 
 
-def _chain_s(steps: tuple[Step, ...], first: int) -> float:
+def _critical_path_s(steps: tuple[Step, ...], first: int) -> float:
     longest = [0.0] * len(steps)
     for index, step in enumerate(steps):
-        before = max((longest[earlier] for earlier in step.after), default=0.0)
-        own_s = step.estimate_ms / 1000 if index >= first else 0.0
-        longest[index] = before + own_s
+        preceding_s = max((longest[earlier] for earlier in step.after), default=0.0)
+        step_s = step.estimate_ms / 1000 if index >= first else 0.0
+        longest[index] = preceding_s + step_s
     return max(longest)
 
 
-def _order(job: Job, queue: Queue, number: int, index: int, at: Moment) -> tuple[float, ...]:
+def _sort_key(job: Job, queue: Queue, number: int, index: int, at: Moment) -> tuple[float, ...]:
     step = job.spec.steps[index]
     if step.lasts:
         return (0.0, float(step.is_backfill), job.seen_s)
@@ -107,6 +107,6 @@
         start_ms = job.spec.start_at_ms + number * job.spec.interval_ms
         since_s = at.now_s - (at.wall_ms - start_ms) / 1000
     if not job.chains_s:
-        job.chains_s = chains_s(job.spec.steps)
+        job.chains_s = critical_paths_s(job.spec.steps)
     objective_s = queue.slack_factor * job.chains_s[0] + queue.target_ms / 1000
     return (1.0, float(queue.priority), since_s + objective_s - job.chains_s[index])
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_reduce.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_reduce.py
@@ -16,14 +16,14 @@
     _operator,
     _orders,
     _ownership,
-    _pacing,
     _planner,
     _pools,
     _progress,
     _registry,
+    _shutdown,
     _snapshot,
-    _stopping,
     _tail,
+    _throttling,
     _waves,
     _workers,
     effects,
@@ -32,7 +32,7 @@
 from ._node import Moment, Node
 
 # Jobs that ended long ago are dropped this often.
-FORGET_INTERVAL_S = 5.0
+PRUNE_INTERVAL_S = 5.0
 
 
 def reduce(node: Node, at: Moment, event: object) -> list[Any]:
@@ -60,7 +60,7 @@
         if not node.is_stopping:
             if node.plan_due:
                 _planner.plan(node, at)
-            _workers.hold_due(node, at)
+            _workers.send_due_holds(node, at)
         _journal.flush(node, at)
     _tail.read(node, at)
 
@@ -74,19 +74,19 @@
     if node.ownership.is_owner:
         _registry.read_registry(node, at)
         _leases.expire_leases(node, at)
-        _workers.watch_zones(node, at)
+        _workers.detect_silent_zones(node, at)
         _instances.list_instances(node, at)
         _waves.advance(node, at)
         _pools.advance(node, at)
-        _instances.empty_instances(node, at)
+        _instances.drain_instances(node, at)
         _snapshot.consider(node, at)
         node.plan_due = True
-    if at.now_s - node.forget_s >= FORGET_INTERVAL_S:
+    if at.now_s - node.forget_s >= PRUNE_INTERVAL_S:
         node.forget_s = at.now_s
         _fold.forget_closed(node.book, at.now_s, node.bounds.status_s)
-        _advice.forget(node)
-        _progress.forget(node)
-    _stopping.advance(node, at)
+        _advice.prune(node)
+        _progress.prune(node)
+    _shutdown.advance(node, at)
 
 
 def _appended(node: Node, at: Moment, event: events.Appended) -> None:
@@ -105,7 +105,7 @@
         _ownership.step_down(node, at, "append_refused", outcome=event.outcome)
         return
     if node.journal.in_flight is None and in_flight is not None:
-        _workers.wake_acknowledged(node, at, list(in_flight.acks))
+        _workers.hold_acknowledged(node, at, list(in_flight.acks))
         if event.outcome == events.OK:
             _tail.fold_callers(node, at, callers)
         # Orders whose records now stand in the log are checked once more before they go out.
@@ -119,22 +119,22 @@
                 node.out.append(effect)
 
 
-def _held(node: Node, at: Moment, event: events.HoldAnswered) -> None:
+def _hold_answered(node: Node, at: Moment, event: events.HoldAnswered) -> None:
     worker = _workers.on_hold(node, at, event)
     if worker is not None:
-        _pacing.on_rows(node, at, worker)
+        _throttling.on_rows(node, at, worker)
         _progress.on_rows(node, at, worker)
 
 
-def _abandoned(node: Node, _at: Moment, event: events.CallAbandoned) -> None:
+def _call_abandoned(node: Node, _at: Moment, event: events.CallAbandoned) -> None:
     _intake.on_abandoned(node, event.token)
 
 
 _HANDLERS: dict[type, Callable[[Node, Moment, Any], None]] = {
     events.Ticked: _ticked,
-    events.StopAsked: _stopping.on_asked,
+    events.StopAsked: _shutdown.on_stop_requested,
     events.CallReceived: _intake.on_call,
-    events.CallAbandoned: _abandoned,
+    events.CallAbandoned: _call_abandoned,
     events.LogRead: _tail.on_read,
     events.LogGap: _tail.on_gap,
     events.LogReadFailed: _tail.on_failed,
@@ -146,11 +146,11 @@
     events.OperatorReadFailed: _operator.on_failed,
     events.WorkersRead: _registry.on_registry,
     events.WorkersReadFailed: _registry.on_registry_failed,
-    events.HoldAnswered: _held,
+    events.HoldAnswered: _hold_answered,
     events.HoldFailed: _workers.on_hold_failed,
     events.StartAnswered: _orders.on_answered,
     events.StopAnswered: _workers.on_stopped,
-    events.PaceAnswered: _pacing.on_paced,
+    events.PaceAnswered: _throttling.on_throttle_answered,
     events.AdviceAnswered: _advice.on_answered,
     events.InstancesListed: _instances.on_listed,
     events.InstanceOrderAnswered: _instances.on_ordered,
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_registry.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_registry.py
@@ -4,7 +4,7 @@
 
 from . import _ownership, effects, events
 from ._node import NEVER_S, Moment, Node, Worker, emit, log_line
-from ._runs import lose_all, raise_token, runs_on
+from ._runs import mark_all_lost, raise_token, runs_on
 from .model import WorkerEntry
 
 # How often entries of workers are read; a draining worker gets no work well before it leaves.
@@ -117,7 +117,7 @@
     """
     worker.is_over = True
     worker.is_listed = False
-    lose_all(node, at, worker, reason)
+    mark_all_lost(node, at, worker, reason)
 
 
 def restarted(node: Node, at: Moment, worker: Worker, incarnation: int) -> None:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_runs.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_runs.py
@@ -20,7 +20,7 @@
 TOKENS_PER_EPOCH = 1000
 MAX_RAISES = TOKENS_PER_EPOCH - 1
 # Most tasks that one line of the log names.
-MAX_LOGGED = 6
+MAX_LOGGED_FAILURES = 6
 
 
 def runs_on(node: Node, worker_id: str) -> dict[TaskKey, Task]:
@@ -65,19 +65,19 @@
     )
     job = node.book.jobs[key.job]
     if how == _book.FAILED:
-        _blame(node, worker, key)
+        _record_failure(node, worker, key)
     elif how == _book.DONE:
         worker.failed_jobs.clear()
-    _close_if_over(node, at, job, task)
+    _close_if_finished(node, at, job, task)
 
 
-def _blame(node: Node, worker: Worker, key: TaskKey) -> None:
+def _record_failure(node: Node, worker: Worker, key: TaskKey) -> None:
     if key.job not in worker.failed_jobs:
         worker.failed_jobs.append(key.job)
     node.avoid.setdefault(key, set()).add(worker.id)
 
 
-def _close_if_over(node: Node, at: Moment, job: Job, task: Task) -> None:
+def _close_if_finished(node: Node, at: Moment, job: Job, task: Task) -> None:
     if job.state in _book.FINAL_STATES:
         return
     step = job.spec.steps[task.key.step]
@@ -118,7 +118,7 @@
         workspace=job.workspace,
         state=state,
         age_s=round(at.now_s - job.seen_s, 3),
-        failures=failures[:MAX_LOGGED],
+        failures=failures[:MAX_LOGGED_FAILURES],
     )
     for task in tasks_of(job):
         node.avoid.pop(task.key, None)
@@ -141,7 +141,7 @@
             yield from state.tasks
 
 
-def token_of(node: Node, worker: Worker) -> int:
+def fencing_token(node: Node, worker: Worker) -> int:
     """
     Give the fencing token for a worker.
 
@@ -169,7 +169,7 @@
     """
     Give the epoch of the owner that a token belongs to.
 
-    :param token: a token of `token_of`.
+    :param token: a token of `fencing_token`.
     :returns: the epoch.
     """
     return token // TOKENS_PER_EPOCH
@@ -190,10 +190,10 @@
         return
     worker.stops[key] = (run, at.now_s)
     address = worker.entry.address
-    emit(node, effects.StopTask(worker.id, address, key, run, token_of(node, worker)))
+    emit(node, effects.StopTask(worker.id, address, key, run, fencing_token(node, worker)))
 
 
-def lose_all(node: Node, at: Moment, worker: Worker, reason: str) -> None:
+def mark_all_lost(node: Node, at: Moment, worker: Worker, reason: str) -> None:
     """
     Record that nothing runs on a worker any more.
 
@@ -206,10 +206,10 @@
     if runs:
         log_line(node, "worker.runs_lost", worker=worker.id, reason=reason, runs=len(runs))
     for task in runs:
-        end_run(node, at, worker, task, LOST, worker_saved(worker, task))
+        end_run(node, at, worker, task, LOST, listed_checkpoint(worker, task))
 
 
-def worker_saved(worker: Worker, task: Task) -> str:
+def listed_checkpoint(worker: Worker, task: Task) -> str:
     """
     Give the newest checkpoint that a worker has listed for a task.
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_stopping.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_shutdown.py
@@ -6,12 +6,12 @@
 from ._node import Moment, Node, emit, log_line
 
 # Callers that connect until the balancer has noticed are still answered.
-NOTICE_S = 2.3
+BALANCER_DELAY_S = 2.3
 # Left of the time until the process is killed.
 KILL_MARGIN_S = 1.0
 
 
-def on_asked(node: Node, at: Moment, _event: events.StopAsked) -> None:
+def on_stop_requested(node: Node, at: Moment, _event: events.StopAsked) -> None:
     """
     Begin to stop.
 
@@ -41,7 +41,7 @@
         node.ownership.reload_wanted = False
     since_s = at.now_s - node.stop_asked_s
     is_done = _intake.is_idle(node) and (not node.ownership.is_owner or _journal.is_idle(node))
-    is_last_moment = since_s >= node.bounds.grace_s - KILL_MARGIN_S
-    if (is_done and since_s >= NOTICE_S) or is_last_moment:
+    is_deadline_near = since_s >= node.bounds.grace_s - KILL_MARGIN_S
+    if (is_done and since_s >= BALANCER_DELAY_S) or is_deadline_near:
         log_line(node, "instance.stopped", since_s=round(since_s, 3), is_done=is_done)
         emit(node, effects.Exit())
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_tail.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_tail.py
@@ -186,7 +186,7 @@
         _fold.apply(node.book, record, at.now_s, at.wall_ms)
         node.tail.owner_s = at.now_s
         if _ownership.on_claimed(node, at, record):
-            _instances.take_over(node, at)
+            _instances.resume_orders(node, at)
         _intake.on_owner_changed(node)
         return
     if isinstance(record, OWNER_RECORDS):
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_waves.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_waves.py
@@ -11,11 +11,11 @@
 from .model import InstanceRow, Room
 
 # Load of a pool above which its instances wait for their turn, while the wave has time.
-BUSY_POOL = 0.6
+BUSY_POOL_LOAD = 0.6
 # Time to empty an instance and to have it back, beyond its maintenance; as short tasks take.
-EMPTYING_S = 2.5
+DRAIN_S = 2.5
 # Part of a wave's time after which load does not hold it up any more.
-URGENT_PART = 0.5
+URGENT_FRACTION = 0.5
 
 
 def advance(node: Node, at: Moment) -> None:
@@ -57,7 +57,7 @@
     log_line(node, "wave.published", wave=event.wave, state=event.state, outcome=event.outcome)
 
 
-def _left(node: Node, state: WaveState) -> list[InstanceRow]:
+def _remaining_instances(node: Node, state: WaveState) -> list[InstanceRow]:
     """
     Give the instances of a wave that are still there and not maintained yet.
     """
@@ -71,8 +71,8 @@
     if not fleet.rows:
         return
     wave = state.wave
-    left = _left(node, state)
-    if not left:
+    remaining = _remaining_instances(node, state)
+    if not remaining:
         if not any(name in fleet.down for name in wave.instances):
             write(node, at, WaveClosed(node.ownership.epoch, wave.number))
             log_line(
@@ -82,28 +82,28 @@
                 took_s=round(at.now_s - state.seen_s, 2),
             )
         return
-    in_work = sum(name in fleet.emptying or name in fleet.down for name in wave.instances)
-    for row in sorted(left, key=lambda row: _busyness(node, row)):
-        if in_work >= wave.max_down:
+    in_progress = sum(name in fleet.emptying or name in fleet.down for name in wave.instances)
+    for row in sorted(remaining, key=lambda row: _load_key(node, row)):
+        if in_progress >= wave.max_down:
             return
         if row.instance in fleet.emptying or row.state != UP:
             continue
-        if not _may_empty(node, at, state, row, len(left)):
+        if not _may_drain(node, at, state, row, len(remaining)):
             continue
         fleet.emptying[row.instance] = MAINTENANCE
         fleet.wave_of[row.instance] = wave.number
-        in_work += 1
+        in_progress += 1
         log_line(
             node,
             "instance.emptying",
             instance=row.instance,
             wave=wave.number,
             pool=row.pool,
-            left=len(left),
+            left=len(remaining),
         )
 
 
-def _busyness(node: Node, row: InstanceRow) -> tuple[float, int]:
+def _load_key(node: Node, row: InstanceRow) -> tuple[float, int]:
     worker = node.workers.get(row.worker)
     if worker is None:
         return (0.0, 0)
@@ -118,20 +118,20 @@
     :param pool: the pool.
     :returns: 0 to 1; 1 for a pool without workers.
     """
-    have = need = 0
+    capacity = used = 0
     for worker in node.workers.values():
         if worker.entry.service == pool and worker.is_listed:
-            have += worker.entry.capacity.millicores
-            need += node.book.load.get(worker.id, Room()).millicores
-    return need / have if have else 1.0
+            capacity += worker.entry.capacity.millicores
+            used += node.book.load.get(worker.id, Room()).millicores
+    return used / capacity if capacity else 1.0
 
 
-def _may_empty(node: Node, at: Moment, state: WaveState, row: InstanceRow, left: int) -> bool:
+def _may_drain(node: Node, at: Moment, state: WaveState, row: InstanceRow, remaining: int) -> bool:
     if not row.worker or row.worker not in node.workers:
         return True
     wave = state.wave
-    each_s = node.bounds.upkeep_s + EMPTYING_S
-    need_s = each_s * left / max(1, wave.max_down)
-    left_s = state.seen_s + wave.duration_s - at.now_s
-    is_urgent = need_s > left_s * URGENT_PART
-    return is_urgent or pool_load(node, row.pool) < BUSY_POOL
+    per_instance_s = node.bounds.upkeep_s + DRAIN_S
+    needed_s = per_instance_s * remaining / max(1, wave.max_down)
+    remaining_s = state.seen_s + wave.duration_s - at.now_s
+    is_urgent = needed_s > remaining_s * URGENT_FRACTION
+    return is_urgent or pool_load(node, row.pool) < BUSY_POOL_LOAD
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_workers.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_workers.py
@@ -11,7 +11,7 @@
 from . import _book, _journal, _leases, _ownership, _registry, effects, events
 from ._book import Task, find_task
 from ._node import NEVER_S, Moment, Node, Worker, emit, log_line
-from ._runs import LOST, end_run, epoch_of, raise_token, runs_on, send_stop, token_of
+from ._runs import LOST, end_run, epoch_of, fencing_token, raise_token, runs_on, send_stop
 from .model import NO_ROOM, EndRow, Room, RunRow, TaskKey
 
 # How long a worker waits for an end before it answers; a third of the shortest usual lease.
@@ -19,16 +19,16 @@
 # The same where the progress of tasks is watched, or backfill is paced by what the answers say.
 WATCHED_HOLD_WAIT_S = 0.25
 # A worker that runs nothing is looked at this often while its lists are not needed.
-IDLE_HOLD_S = 20.0
+IDLE_HOLD_INTERVAL_S = 20.0
 # While the log takes no ends, the lease is renewed this often.
-STALLED_HOLD_S = 0.8
+STALLED_HOLD_INTERVAL_S = 0.8
 # A worker answers within this, beyond the time that it is asked to wait; some hundred round trips.
 # One that has not answered yet gets no new task.
-ANSWER_S = 0.2
+ANSWER_TIMEOUT_S = 0.2
 # A zone is silent when more than this part of its workers that were asked are overdue, and at least
 # so many of them.
-SILENT_PART = 0.5
-LEAST_OVERDUE = 2
+SILENT_FRACTION = 0.5
+MIN_OVERDUE_WORKERS = 2
 # A worker's reason for refusing an older token.
 FENCE = "fence"
 # A worker that did not answer is asked again after this, beside the calls that it has not answered
@@ -37,7 +37,7 @@
 MAX_FAILING_HOLDS = 4
 
 
-def free_room(node: Node, worker: Worker) -> Room:
+def free_resources(node: Node, worker: Worker) -> Room:
     """
     Give what a worker has left.
 
@@ -46,12 +46,12 @@
     :returns: its capacity less all that may run there.
     """
     free = worker.entry.capacity.minus(node.book.load.get(worker.id, NO_ROOM))
-    for room in worker.strays.values():
-        free = free.minus(room)
+    for resources in worker.strays.values():
+        free = free.minus(resources)
     return free
 
 
-def hold_due(node: Node, at: Moment) -> None:
+def send_due_holds(node: Node, at: Moment) -> None:
     """
     Send the holds that are due.
 
@@ -59,8 +59,8 @@
     :param at: the time.
     """
     for worker in node.workers.values():
-        most = MAX_FAILING_HOLDS if worker.is_failing else 1
-        if worker.holds >= most or at.now_s < worker.next_hold_s:
+        max_holds = MAX_FAILING_HOLDS if worker.is_failing else 1
+        if worker.holds >= max_holds or at.now_s < worker.next_hold_s:
             continue
         runs = runs_on(node, worker.id)
         if worker.is_listed or runs:
@@ -89,7 +89,7 @@
     return any(not jobs[key.job].spec.steps[key.step].lasts for key in runs_on(node, worker.id))
 
 
-def look(node: Node, at: Moment, worker: Worker) -> None:
+def request_lists(node: Node, at: Moment, worker: Worker) -> None:
     """
     Ask a worker for its lists at once, beside a call that waits for an end.
 
@@ -102,9 +102,9 @@
 
 def _send_hold(node: Node, at: Moment, worker: Worker, lease_ms: int | None, wait_s: float) -> None:
     if not worker.holds:
-        worker.lists_due_s = at.now_s + wait_s + ANSWER_S
+        worker.lists_due_s = at.now_s + wait_s + ANSWER_TIMEOUT_S
     worker.holds += 1
-    address, token = worker.entry.address, token_of(node, worker)
+    address, token = worker.entry.address, fencing_token(node, worker)
     # Told once only: a worker that has restarted unnoticed numbers its ends anew.
     acked = worker.acked if worker.acked > worker.told else 0
     emit(node, effects.Hold(worker.id, address, token, acked, lease_ms, wait_s))
@@ -112,8 +112,8 @@
 
 def _count_answer(worker: Worker, at: Moment) -> None:
     worker.holds = max(0, worker.holds - 1)
-    is_due = worker.holds > 0
-    worker.lists_due_s = at.now_s + HOLD_WAIT_S + ANSWER_S if is_due else NEVER_S
+    is_awaiting = worker.holds > 0
+    worker.lists_due_s = at.now_s + HOLD_WAIT_S + ANSWER_TIMEOUT_S if is_awaiting else NEVER_S
 
 
 def is_overdue(worker: Worker, now_s: float) -> bool:
@@ -127,7 +127,7 @@
     return worker.is_failing or now_s > min(worker.lists_due_s, worker.answer_due_s)
 
 
-def watch_zones(node: Node, at: Moment) -> None:
+def detect_silent_zones(node: Node, at: Moment) -> None:
     """
     Find the availability zones that seem to be cut off: most workers there that should have
     answered did not. Others there that were not asked are not used either.
@@ -144,7 +144,7 @@
     silent = frozenset(
         zone
         for zone, count in overdue.items()
-        if count >= LEAST_OVERDUE and count > SILENT_PART * asked[zone]
+        if count >= MIN_OVERDUE_WORKERS and count > SILENT_FRACTION * asked[zone]
     )
     if silent != node.silent_zones:
         log_line(
@@ -178,7 +178,7 @@
         if event.incarnation > worker.entry.incarnation:
             _registry.restarted(node, at, worker, event.incarnation)
         return None
-    if event.token != token_of(node, worker):
+    if event.token != fencing_token(node, worker):
         # Orders to the worker's former life could still be carried out.
         return None
     if worker.is_failing:
@@ -194,10 +194,10 @@
     if not worker.is_held:
         worker.is_held = True
         node.plan_due = True
-    _take_ends(node, at, worker, event.ends)
+    _apply_exits(node, at, worker, event.ends)
     worker.rows = {row.key: row for row in event.runs}
     worker.rows_s = event.sent_s
-    _compare(node, at, worker, event)
+    _reconcile(node, at, worker, event)
     _schedule_hold(node, at, worker, event)
     return worker
 
@@ -205,14 +205,14 @@
 def _schedule_hold(node: Node, at: Moment, worker: Worker, event: events.HoldAnswered) -> None:
     if worker.handled != worker.acked:
         # The log has to note the ends first; the commit brings the next hold forward.
-        worker.next_hold_s = at.now_s + STALLED_HOLD_S
+        worker.next_hold_s = at.now_s + STALLED_HOLD_INTERVAL_S
     elif runs_on(node, worker.id):
         worker.next_hold_s = at.now_s
     else:
-        worker.next_hold_s = at.now_s + IDLE_HOLD_S
+        worker.next_hold_s = at.now_s + IDLE_HOLD_INTERVAL_S
 
 
-def wake_acknowledged(node: Node, at: Moment, workers: list[str]) -> None:
+def hold_acknowledged(node: Node, at: Moment, workers: list[str]) -> None:
     """
     Hold the workers at once whose ends have been noted in the log.
 
@@ -226,7 +226,7 @@
             worker.next_hold_s = min(worker.next_hold_s, at.now_s)
 
 
-def _take_ends(node: Node, at: Moment, worker: Worker, ends: tuple[EndRow, ...]) -> None:
+def _apply_exits(node: Node, at: Moment, worker: Worker, ends: tuple[EndRow, ...]) -> None:
     if all(end.number > worker.acked for end in ends):
         worker.told = worker.acked
     newest = worker.handled
@@ -234,14 +234,14 @@
         if end.number <= worker.handled:
             continue
         newest = max(newest, end.number)
-        _take_end(node, at, worker, end)
+        _apply_exit(node, at, worker, end)
     if newest > worker.handled:
         worker.handled = newest
         _journal.acknowledge(node, worker, newest)
         node.plan_due = True
 
 
-def _take_end(node: Node, at: Moment, worker: Worker, end: EndRow) -> None:
+def _apply_exit(node: Node, at: Moment, worker: Worker, end: EndRow) -> None:
     worker.strays.pop(end.key, None)
     task = find_task(node.book, end.key)
     if task is None:
@@ -266,27 +266,29 @@
         end_run(node, at, worker, task, end.how, end.saved)
 
 
-def _compare(node: Node, at: Moment, worker: Worker, event: events.HoldAnswered) -> None:
+def _reconcile(node: Node, at: Moment, worker: Worker, event: events.HoldAnswered) -> None:
     for key, row in worker.rows.items():
-        _compare_row(node, at, worker, key, row)
+        _reconcile_listed_run(node, at, worker, key, row)
     for key in list(worker.strays):
         if key not in worker.rows:
             del worker.strays[key]
             node.plan_due = True
     for task in list(runs_on(node, worker.id).values()):
         if task.key not in worker.rows:
-            _compare_missing(node, at, worker, task, event)
+            _reconcile_missing_run(node, at, worker, task, event)
 
 
-def _compare_row(node: Node, at: Moment, worker: Worker, key: TaskKey, row: RunRow) -> None:
+def _reconcile_listed_run(
+    node: Node, at: Moment, worker: Worker, key: TaskKey, row: RunRow
+) -> None:
     task = find_task(node.book, key)
-    is_ours = (
+    is_expected = (
         task is not None
         and task.status == _book.RUNNING
         and task.worker == worker.id
         and task.run == row.run
     )
-    if is_ours:
+    if is_expected:
         job = node.book.jobs[key.job]
         order = worker.orders.get(key)
         if order is not None and not order.answered_s:
@@ -296,10 +298,10 @@
         if job.cancelled or job.state in _book.FINAL_STATES or key in worker.stops:
             send_stop(node, at, worker, key, row.run)
         return
-    step_room = NO_ROOM
+    resources = NO_ROOM
     if task is not None:
-        step_room = node.book.jobs[key.job].spec.steps[key.step].room
-    worker.strays[key] = step_room
+        resources = node.book.jobs[key.job].spec.steps[key.step].room
+    worker.strays[key] = resources
     log_line(
         node,
         "run.stray",
@@ -312,7 +314,7 @@
     send_stop(node, at, worker, key, row.run)
 
 
-def _compare_missing(
+def _reconcile_missing_run(
     node: Node, at: Moment, worker: Worker, task: Task, event: events.HoldAnswered
 ) -> None:
     order = worker.orders.get(task.key)
@@ -349,7 +351,7 @@
     if order.unanswered_s and not order.answered_s and not order.barred_s:
         # The run can't begin any more, but it may have begun before the stop; the next list tells.
         order.barred_s = at.now_s
-        look(node, at, worker)
+        request_lists(node, at, worker)
 
 
 def on_hold_failed(node: Node, at: Moment, event: events.HoldFailed) -> None:
@@ -366,7 +368,7 @@
     if epoch_of(event.token) != node.ownership.epoch:
         return
     _count_answer(worker, at)
-    if event.token != token_of(node, worker):
+    if event.token != fencing_token(node, worker):
         # What the worker said to a former token, or did not say, is out of date.
         return
     if event.reason == FENCE:
--- a/packages/eelgrassdrum-core/tests/test_jobs_instances.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_instances.py
@@ -25,7 +25,7 @@
 DAY_MS = 86_400_000
 
 
-def restarted_owner(records):
+def make_restarted_owner(records):
     """
     Give an instance that has just started, has read a log at one moment, and owns it.
     """
@@ -43,7 +43,7 @@
     return node
 
 
-def log_of_orders(at_ms):
+def make_former_log(at_ms):
     """
     Give the log of a former owner that ordered one instance early and another one late.
     """
@@ -59,37 +59,37 @@
     ]
 
 
-def is_free(node, instance, after_s=0.1):
+def may_order(node, instance, after_s=0.1):
     """
     Tell whether the new owner may order an instance, some time after its claim.
     """
     at = instances.Moment(START_S + 2 + after_s, WALL_MS)
-    return instances._is_free_of_former(node, at, instance)
+    return instances._former_order_expired(node, at, instance)
 
 
-def test_old_orders_hold_up_no_owner_that_has_just_started():
+def test_restarted_owner_waits_only_for_recent_orders():
     """
     After all instances have restarted, instances without a recent order are ordered at once.
     """
-    node = restarted_owner(log_of_orders(WALL_MS))
-    assert is_free(node, "early")
-    assert not is_free(node, "late")
-    assert is_free(node, "late", after_s=BOUNDS.order_lease_s + instances.ORDER_MARGIN_S)
+    node = make_restarted_owner(make_former_log(WALL_MS))
+    assert may_order(node, "early")
+    assert not may_order(node, "late")
+    assert may_order(node, "late", after_s=BOUNDS.order_lease_s + instances.ORDER_MARGIN_S)
 
 
-def test_the_clock_of_day_makes_no_order_old():
+def test_wall_clock_jump_does_not_age_orders():
     """
     A clock of day that jumped by a day frees no instance that was ordered a moment ago.
     """
-    node = restarted_owner(log_of_orders(WALL_MS - DAY_MS))
-    assert not is_free(node, "late")
+    node = make_restarted_owner(make_former_log(WALL_MS - DAY_MS))
+    assert not may_order(node, "late")
 
 
-def test_beats_of_two_owners_are_not_compared():
+def test_heartbeats_of_two_owners_are_not_compared():
     """
     The clocks of two owners have nothing to do with one another, so time passes only within one.
     """
-    records = [*log_of_orders(WALL_MS), Claimed(2, "other", 1), Beat(2, 900_000)]
+    records = [*make_former_log(WALL_MS), Claimed(2, "other", 1), Beat(2, 900_000)]
     node = new_node(Identity("entry", WALL_MS, "zone"), BOUNDS)
     feed(node, START_S, events.SnapshotRead(None))
     data = tuple(encode_records(records))
@@ -97,7 +97,7 @@
     assert node.book.log_s == 10.3
 
 
-def test_a_wave_goes_on_when_an_instance_leaves_while_it_is_emptied():
+def test_wave_continues_when_a_draining_instance_leaves():
     """
     An instance that is no longer listed holds up no other instance of its wave.
     """
@@ -105,7 +105,7 @@
     node = owner_of([worker_entry("a"), worker_entry("b")])
     feed(node, LISTED_S, events.OperatorRead(2, make_owner_config(), (wave,), LISTED_S))
 
-    def listed(at_s, names):
+    def list_instances(at_s, names):
         rows = tuple(
             model.InstanceRow(
                 f"m-{name}", "service", "up", "z", "r1", model.Room(4000, 64_000, 0), name
@@ -115,7 +115,7 @@
         feed(node, at_s, events.InstancesListed(rows, at_s))
         feed(node, at_s, events.Ticked())
 
-    listed(LISTED_S, ("a", "b"))
+    list_instances(LISTED_S, ("a", "b"))
     assert set(node.fleet.emptying) == {"m-a"}
-    listed(LISTED_S + 1, ("b",))
+    list_instances(LISTED_S + 1, ("b",))
     assert set(node.fleet.emptying) == {"m-b"}
--- a/packages/eelgrassdrum-core/tests/test_jobs_orders.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_orders.py
@@ -47,7 +47,7 @@
     return [item for item in produced if isinstance(item, kind)]
 
 
-def test_an_order_without_an_answer_is_not_sent_again(unanswered):
+def test_unanswered_order_is_not_sent_again(unanswered):
     """
     A second copy of an order could be carried out after the first has ended; lists are asked for.
     """
@@ -57,7 +57,7 @@
     assert hold.wait_s == 0.0
 
 
-def test_an_order_that_was_carried_out_is_found_in_the_lists(unanswered):
+def test_executed_order_is_found_in_the_lists(unanswered):
     """
     A run that the worker lists goes on although the order's answer was lost.
     """
@@ -68,7 +68,7 @@
     assert order.key in node.book.running["w"]
 
 
-def test_a_run_is_barred_before_its_task_starts_anew(unanswered):
+def test_run_is_barred_before_its_task_is_retried(unanswered):
     """
     A task whose order is not in the lists starts anew only when the worker has barred the run.
     """
@@ -87,7 +87,7 @@
     assert again.run == order.run + 1
 
 
-def test_a_run_that_began_just_before_it_was_barred_ends_first(unanswered):
+def test_run_started_before_the_stop_exits_before_a_retry(unanswered):
     """
     A held-up order that was carried out before the stop is no reason to start another run yet.
     """
@@ -103,7 +103,7 @@
     assert started(produced) == [("job", "w")]
 
 
-def test_ends_are_acknowledged_until_the_worker_was_told_and_not_again():
+def test_exits_are_acknowledged_once():
     """
     A worker that restarts unnoticed has its own numbers, so former ones are not sent again.
     """
@@ -117,7 +117,7 @@
     end = model.EndRow(1, first.key, first.run, "done", "")
     feed(node, SENT_S + 0.2, lists(SENT_S + 0.1, (row,), (end,)))
     noted = events.Appended("owner", node.journal.seq, events.OK)
-    (told,) = of_type(feed(node, SENT_S + 0.21, noted), effects.Hold)
-    assert told.acked == 1
+    (next_hold,) = of_type(feed(node, SENT_S + 0.21, noted), effects.Hold)
+    assert next_hold.acked == 1
     produced = feed(node, SENT_S + 0.23, lists(SENT_S + 0.22, (row,)))
     assert [hold.acked for hold in of_type(produced, effects.Hold)] == [0]
--- a/packages/eelgrassdrum-core/tests/test_jobs_planner.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_planner.py
@@ -16,7 +16,7 @@
 )
 
 
-def test_priority_goes_before_the_end_of_the_objective():
+def test_priority_precedes_deadline():
     """
     An urgent queue's job takes the only room although another job waits longer.
     """
@@ -25,7 +25,7 @@
     assert hand_in(node, jobs) == [("new", "w")]
 
 
-def test_a_late_job_is_not_passed_over():
+def test_late_job_is_not_starved():
     """
     Burst beyond room: a job past its objective goes before one that could still meet its own.
     """
@@ -34,17 +34,17 @@
     assert hand_in(node, jobs) == [("late", "w")]
 
 
-def test_work_that_lasts_goes_first():
+def test_long_running_tasks_go_first():
     """
     Tasks that last take room before any other.
     """
     node = owner_of([worker_entry("w", 1000)])
-    lasting = one_step(lasts=True)
-    jobs = [("batch", "urgent", (one_step(),), 5.0), ("lasting", "usual", (lasting,), 0.0)]
+    long_running = one_step(lasts=True)
+    jobs = [("batch", "urgent", (one_step(),), 5.0), ("lasting", "usual", (long_running,), 0.0)]
     assert hand_in(node, jobs) == [("lasting", "w")]
 
 
-def test_a_gang_starts_whole_or_not_at_all():
+def test_gang_starts_all_members_or_none():
     """
     A gang that doesn't fit as a whole starts none of its members.
     """
@@ -55,7 +55,7 @@
     assert len(hand_in(node, jobs, START_S + 3.1)) == 3
 
 
-def test_a_gang_prefers_one_rack():
+def test_gang_prefers_one_rack():
     """
     A gang of one rack starts on one rack where one has room for all of it.
     """
@@ -69,7 +69,7 @@
     assert {name for _job, name in hand_in(node, jobs)} == {"b1", "b2"}
 
 
-def test_labels_and_spread_are_kept():
+def test_labels_and_spread_are_respected():
     """
     A task starts only on workers with its label, and no more of a step on one than allowed.
     """
@@ -78,7 +78,7 @@
     assert hand_in(node, jobs) == [("job", "fast"), ("job", "fast")]
 
 
-def test_a_limit_holds_for_a_burst_of_one_workspace():
+def test_workspace_limit_holds_in_a_burst():
     """
     Burst of one workspace: it has no more running than its limit, whatever is free.
     """
@@ -87,7 +87,7 @@
     assert len(hand_in(node, [("job", "usual", (one_step(5),), 0.0)])) == 2
 
 
-def test_a_worker_that_fails_everything_gets_little_work():
+def test_suspect_worker_is_used_last():
     """
     Failing worker: after jobs in a row have failed there, others are preferred.
     """
@@ -97,7 +97,7 @@
     assert names == ["good"] * 4
 
 
-def test_nothing_starts_on_a_worker_that_drains():
+def test_draining_worker_takes_no_task():
     """
     A draining worker takes no task.
     """
@@ -105,7 +105,7 @@
     assert hand_in(node, [("job", "usual", (one_step(),), 0.0)]) == []
 
 
-def test_a_queue_with_advice_starts_only_with_a_ticket():
+def test_queue_with_advice_requires_a_ticket():
     """
     The advice service is asked first, its refusals hold, and the order carries the ticket.
     """
@@ -119,7 +119,7 @@
     assert [order.ticket for order in orders] == ["ticket"]
 
 
-def test_tickets_of_the_next_step_are_fetched_ahead():
+def test_tickets_of_the_next_step_are_prefetched():
     """
     A step that waits for another is asked about before it can start.
     """
@@ -128,7 +128,7 @@
     assert node.advice[("job", 0, 1)].is_asking
 
 
-def test_an_expired_ticket_is_asked_for_again():
+def test_expired_ticket_is_requested_again():
     """
     A ticket that has run out starts nothing, and another one is asked for.
     """
--- a/packages/eelgrassdrum-core/tests/test_jobs_progress.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_progress.py
@@ -49,7 +49,7 @@
     return [item.key for item in produced if isinstance(item, effects.StopTask)]
 
 
-def test_tasks_that_stand_still_are_moved(running):
+def test_stalled_tasks_are_moved(running):
     """
     Tasks that got on well and then stand still are stopped, since another worker has room.
     """
@@ -61,7 +61,7 @@
     assert node.workers["a"].slow_until_s > SENT_S + 0.7
 
 
-def test_one_slow_task_among_sound_ones_stays(running):
+def test_one_slow_task_does_not_make_a_worker_slow(running):
     """
     A worker is slow only when most of its tasks are: sizes of tasks differ.
     """
@@ -71,7 +71,7 @@
     assert list_progress(node, orders, 0.7, 70, 69) == []
 
 
-def test_a_task_that_is_nearly_done_stays(running):
+def test_nearly_finished_task_stays(running):
     """
     A slow task that still ends sooner than a fresh start would is left alone.
     """
@@ -81,7 +81,7 @@
     assert list_progress(node, orders, 0.7, 98, 98) == []
 
 
-def test_lists_that_are_read_late_show_no_slowness(running):
+def test_lists_read_late_do_not_count_as_slow(running):
     """
     Progress is measured by the worker's clock: an owner that was paused sees no slow worker.
     """
@@ -91,7 +91,7 @@
     assert list_progress(node, orders, 0.7, 70, 70, late_s=5.0) == []
 
 
-def test_tasks_stay_where_no_other_worker_has_room(running):
+def test_tasks_stay_when_no_other_worker_has_capacity(running):
     """
     Without room elsewhere a slow task goes on where it is.
     """
--- /dev/null
+++ b/packages/eelgrassdrum-core/tests/test_jobs_throttling.py
@@ -0,0 +1,58 @@
+"""
+The pace of backfill beside work that serves.
+"""
+
+from eelgrassdrum_core.jobs._throttling import FULL_PERCENT, BackfillThrottle, next_percent
+
+
+def simulate(throttle, worst_ratio, from_s, seconds):
+    """
+    Adjust a pace ten times a second while the worst part stays the same.
+    """
+    for tenth in range(round(seconds * 10)):
+        now_s = from_s + tenth / 10
+        new_percent = next_percent(throttle, worst_ratio, now_s)
+        if new_percent != throttle.percent:
+            throttle.percent, throttle.changed_s = new_percent, now_s
+    return from_s + seconds
+
+
+def test_backfill_runs_at_full_speed_below_the_thresholds():
+    """
+    Without a serving task near its target, nothing is slowed.
+    """
+    throttle = BackfillThrottle()
+    simulate(throttle, 0.3, 0.0, 5.0)
+    assert throttle.percent == FULL_PERCENT
+
+
+def test_backfill_stops_when_a_target_is_exceeded():
+    """
+    Serving task over its target: backfill stands within two seconds.
+    """
+    throttle = BackfillThrottle()
+    simulate(throttle, 1.3, 0.0, 2.0)
+    assert throttle.percent == 0
+
+
+def test_backfill_is_slowed_near_a_target():
+    """
+    Serving task near its target: backfill is halved, not stopped at once.
+    """
+    throttle = BackfillThrottle()
+    simulate(throttle, 0.9, 0.0, 0.1)
+    assert 0 < throttle.percent < FULL_PERCENT
+
+
+def test_backfill_speed_recovers_in_steps():
+    """
+    After harm has passed, backfill is let go again in steps.
+    """
+    throttle = BackfillThrottle()
+    at_s = simulate(throttle, 1.3, 0.0, 2.0)
+    at_s = simulate(throttle, 0.3, at_s, 1.0)
+    assert throttle.percent == 0
+    at_s = simulate(throttle, 0.3, at_s, 2.0)
+    assert 0 < throttle.percent < FULL_PERCENT
+    simulate(throttle, 0.3, at_s, 15.0)
+    assert throttle.percent == FULL_PERCENT
--- a/packages/eelgrassdrum-testing/tests/test_jobs_patterns.py
+++ b/packages/eelgrassdrum-testing/tests/test_jobs_patterns.py
@@ -4,7 +4,7 @@
 
 from contextlib import contextmanager
 
-from eelgrassdrum_core.jobs import _forwarding, _planner, _progress, _sites
+from eelgrassdrum_core.jobs import _candidates, _forwarding, _planner, _progress
 from eelgrassdrum_testing.jobs import (
     burst_beyond_room,
     owner_lost_in_a_burst,
@@ -78,7 +78,10 @@
     Zone cut in a burst: jobs keep their tasks in one zone, and none goes where nobody answers.
     """
     kept = [zone_cut_in_a_burst(seed) for seed in SEEDS]
-    with replaced(_planner, "_home_zone", lambda *_: ""), replaced(_sites, "_is_sound", anyone):
+    with (
+        replaced(_planner, "_home_zone", lambda *_: ""),
+        replaced(_candidates, "_is_sound", anyone),
+    ):
         spread = [zone_cut_in_a_burst(seed) for seed in SEEDS]
     assert missed(kept) < ZONE_PART_LEFT * missed(spread), (kept, spread)
 
