--- a/packages/eelgrassdrum-testing/tests/test_jobs_patterns.py
+++ b/packages/eelgrassdrum-testing/tests/test_jobs_patterns.py
@@ -79,8 +79,8 @@
     """
     kept = [zone_cut_in_a_burst(seed) for seed in SEEDS]
     with (
-        replaced(_planner, "_home_zone", lambda *_: ""),
-        replaced(_candidates, "_is_sound", anyone),
+        replaced(_planner, "_preferred_zone", lambda *_: ""),
+        replaced(_candidates, "_is_healthy", anyone),
     ):
         spread = [zone_cut_in_a_burst(seed) for seed in SEEDS]
     assert missed(kept) < ZONE_PART_LEFT * missed(spread), (kept, spread)
--- a/packages/eelgrassdrum-testing/tests/test_jobs_schedules.py
+++ b/packages/eelgrassdrum-testing/tests/test_jobs_schedules.py
@@ -97,7 +97,7 @@
     def all_of_it(_node, worker):
         return worker.entry.capacity
 
-    with replaced(_workers, "free_room", all_of_it):
+    with replaced(_workers, "free_resources", all_of_it):
         assert "room_holds" in broken_rules([1], ("cancel_some",))
 
 
@@ -126,9 +126,9 @@
         return node.ownership.epoch * _runs.TOKENS_PER_EPOCH
 
     with (
-        replaced(_runs, "token_of", epoch_alone),
-        replaced(_workers, "token_of", epoch_alone),
-        replaced(_orders, "token_of", epoch_alone),
+        replaced(_runs, "fencing_token", epoch_alone),
+        replaced(_workers, "fencing_token", epoch_alone),
+        replaced(_orders, "fencing_token", epoch_alone),
     ):
         assert "done_never_starts_again" in broken_rules([2, 4], LATE_ORDERS)
 
@@ -146,7 +146,7 @@
             for worker in node.workers.values()
         )
 
-    with replaced(_instances, "_may_run_something", listed_only):
+    with replaced(_instances, "_may_have_runs", listed_only):
         seeds = range(5000, 5010)
         faults = ("wave", "entries_lapse", "entries_lapse")
         assert "planned_work_cuts_nothing" in broken_rules(seeds, faults)
