--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_advice.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_advice.py
@@ -1,9 +1,9 @@
 """
-Tickets of the advice service, which says on which workers a step may run.
+Requests tickets from the advice service, which decides on which workers a step may run.
 
-The service takes one call at a time from each instance, and a call takes longer the more workers it
-names. A step's answer never changes, so each worker is asked about once; a ticket is asked for
-again when it has expired.
+The service accepts one call at a time from each instance, and a call takes longer the more workers
+it names. The decision for a step and a worker never changes, so a ticket is requested once, and again
+only after it has expired.
 """
 
 from typing import Any
@@ -12,25 +12,25 @@
 from ._book import Job
 from ._node import Moment, Node, StepAdvice, emit, log_line
 
-# Workers that one call names: enough to find a few that may run the step.
+# Workers named in one call: enough to find a few that may run the step.
 WORKERS_PER_CALL = 6
-# Calls that may be outstanding, well below those that the service lets wait.
+# Outstanding calls, well below the number that the service queues.
 MAX_CALLS = 8
-# A call that failed is tried again after this.
+# Delay before a failed call is retried.
 RETRY_S = 0.3
-# A ticket is not used in the last part of its time.
+# A ticket counts as expired this long before its expiry time.
 EXPIRY_MARGIN_S = 0.3
 
 
 def valid_ticket(node: Node, at: Moment, item: Any, worker_id: str) -> str:
     """
-    Give the ticket of a step for a worker.
+    Return the ticket of a step for a worker.
 
     :param node: the instance.
-    :param step_index: the time.
-    :param item: the step that is to be placed.
+    :param at: the time.
+    :param item: the step to place.
     :param worker_id: the worker.
-    :returns: the ticket, or empty when there is none that is valid.
+    :returns: the ticket, or an empty string if there is no valid one.
     """
     advice = node.advice.get((item.job.id, item.occurrence, item.step_index))
     if advice is None:
@@ -43,15 +43,15 @@
     node: Node, at: Moment, job: Job, occurrence: int, step: int, workers: list[str]
 ) -> None:
     """
-    Ask about a step that can't start yet, if nothing is known of it, so that its tickets are there
-    when it can.
+    Request tickets for a step that can't start yet, unless they were requested before, so that they
+    are available once it can start.
 
     :param node: the instance.
-    :param step_index: the time.
+    :param at: the time.
     :param job: the job.
-    :param occurrence: the occurrence.
-    :param step: the step.
-    :param workers: the workers, the best first.
+    :param occurrence: number of the occurrence.
+    :param step: index of the step.
+    :param workers: the candidate workers, best first.
     """
     if (job.id, occurrence, step) not in node.advice:
         request_tickets(node, at, job, occurrence, step, workers)
@@ -61,14 +61,17 @@
     node: Node, at: Moment, job: Job, occurrence: int, step: int, workers: list[str]
 ) -> None:
     """
-    Ask about workers on which a step would fit.
+    Request tickets for workers on which a step would fit.
+
+    Nothing is sent while a call for the step is outstanding or its retry delay runs, or while the
+    limit of outstanding calls is reached.
 
     :param node: the instance.
-    :param step_index: the time.
+    :param at: the time.
     :param job: the job.
-    :param occurrence: the occurrence.
-    :param step: the step.
-    :param workers: the workers, the best first.
+    :param occurrence: number of the occurrence.
+    :param step: index of the step.
+    :param workers: the candidate workers, best first.
     """
     advice = node.advice.setdefault((job.id, occurrence, step), StepAdvice())
     if advice.is_asking or at.now_s < advice.retry_s:
@@ -84,10 +87,10 @@
 
 def on_answered(node: Node, at: Moment, event: events.AdviceAnswered) -> None:
     """
-    Take an answer of the advice service.
+    Process an answer of the advice service.
 
     :param node: the instance.
-    :param step_index: the time.
+    :param at: the time.
     :param event: the answer.
     """
     advice = node.advice.get((event.job, event.occurrence, event.step))
@@ -109,7 +112,7 @@
 
 def prune(node: Node) -> None:
     """
-    Drop what is known of steps of jobs that have ended.
+    Drop the tickets of jobs that are no longer open.
 
     :param node: the instance.
     """
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_candidates.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_candidates.py
@@ -1,5 +1,5 @@
 """
-The workers of a pool that take tasks, and what they have free.
+Selects the workers of a pool that accept tasks, and computes their free resources.
 """
 
 from collections import Counter
@@ -11,15 +11,17 @@
 from ._runs import runs_on
 from .model import Room, Step
 
-# Jobs in a row that failed on a worker, after which it is tried with one task at a time.
+# A worker on which this many jobs in a row failed gets only one task at a time.
 SUSPECT_FAILURES = 2
-# Workers that are slow or overdue are left out while at least this part of the pool is neither.
+# Slow or overdue workers are left out while at least this fraction of the pool is healthy.
 MIN_HEALTHY_FRACTION = 0.5
 
 
 class Candidate(NamedTuple):
     """
-    A worker that takes tasks in this plan, and what it has free.
+    A worker that accepts tasks in the current planning pass.
+
+    :param free: its free resources, as a list of one item that the pass updates.
     """
 
     worker: Worker
@@ -28,13 +30,15 @@
 
 def pool_candidates(node: Node, at: Moment, service: str) -> list[Candidate]:
     """
-    Give the workers of a pool that take tasks. Slow ones, and those that should have answered by
-    now, are left out unless they are most of the pool.
+    Return the workers of a pool that accept tasks.
+
+    Slow workers, those with an overdue answer and those in silent zones are left out unless they
+    are most of the pool.
 
     :param node: the instance.
     :param at: the time.
-    :param service: the pool.
-    :returns: the workers with what they have free.
+    :param service: name of the pool.
+    :returns: the workers with their free resources.
     """
     candidates = [
         Candidate(worker, [_workers.free_resources(node, worker)])
@@ -55,12 +59,12 @@
 
 def accepts_tasks(node: Node, at: Moment, worker: Worker) -> bool:
     """
-    Tell whether tasks may be started on a worker now.
+    Return whether tasks may be started on a worker now.
 
     :param node: the instance.
     :param at: the time.
     :param worker: the worker.
-    :returns: whether it takes tasks.
+    :returns: whether it accepts tasks.
     """
     return (
         worker.is_listed
@@ -74,17 +78,17 @@
 
 def is_suspect(worker: Worker) -> bool:
     """
-    Tell whether a worker seems to fail whatever it starts.
+    Return whether a worker seems to fail every task, because several jobs in a row failed there.
 
     :param worker: the worker.
-    :returns: whether several jobs in a row failed there.
+    :returns: whether it is suspect.
     """
     return len(worker.failed_jobs) >= SUSPECT_FAILURES
 
 
 def is_busy(node: Node, worker: Worker) -> bool:
     """
-    Tell whether anything runs on a worker.
+    Return whether anything runs on a worker, including runs that are absent from the log.
 
     :param node: the instance.
     :param worker: the worker.
@@ -95,11 +99,11 @@
 
 def has_label(step: Step, worker: Worker) -> bool:
     """
-    Tell whether a worker has the label that a step needs.
+    Return whether a worker has the label that a step needs.
 
     :param step: the step.
     :param worker: the worker.
-    :returns: whether it has, or none is needed.
+    :returns: whether it has the label or none is needed.
     """
     return not step.label or step.label in worker.entry.labels
 
@@ -108,19 +112,19 @@
     """
     Count the running tasks of a step by worker.
 
-    :param state: the step.
-    :returns: the counts.
+    :param state: state of the step.
+    :returns: the number of tasks by worker id.
     """
     return Counter(task.worker for task in state.tasks if task.status == _book.RUNNING)
 
 
 def workers_with_capacity(state: StepState, candidates: list[Candidate]) -> list[str]:
     """
-    Give the workers on which a task of a step would fit.
+    Return the workers on which a task of a step would fit.
 
-    :param state: the step.
+    :param state: state of the step.
     :param candidates: the workers to choose from.
-    :returns: their ids, those with the most free first.
+    :returns: their ids, those with the most free processor capacity first.
     """
     fitting = [
         candidate
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_draining.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_draining.py
@@ -1,23 +1,24 @@
 """
-Takes tasks that last away from a worker that is to be emptied, within the budgets of their steps.
+Drains long-running tasks from workers, within the availability budgets of their steps.
 """
 
 from . import _book, _candidates, _runs
 from ._book import StepState, Task, occurrence_of
 from ._node import Moment, Node, Worker, log_line
 
-# Added to the longest stop, for its order and the list that shows its end.
+# Added to the longest stop, for sending the stop order and reading the list that shows the task's
+# exit.
 STOP_MARGIN_S = 2.0
 
 
 def drain_long_running(node: Node, at: Moment, worker: Worker) -> None:
     """
-    Stop tasks that last on a worker, as far as their steps can do without them for a while and
-    there is room for them elsewhere.
+    Stop long-running tasks on a worker, as far as the availability budgets of their steps allow it
+    and another worker has capacity for them.
 
     :param node: the instance.
     :param at: the time.
-    :param worker: the worker.
+    :param worker: the worker to drain.
     """
     for task in list(_runs.runs_on(node, worker.id).values()):
         job = node.book.jobs[task.key.job]
@@ -42,14 +43,15 @@
 
 def may_evict(node: Node, at: Moment, state: StepState) -> bool:
     """
-    Tell whether planned work may take one more task of a step that lasts away.
+    Return whether planned work may evict one more task of a long-running step.
 
     :param node: the instance.
     :param at: the time.
-    :param state: the step.
-    :returns: whether its budget allows it.
+    :param state: state of the step.
+    :returns: whether its availability budget allows it.
     """
-    # A stop that a former owner sent a moment ago does not show in the lists yet.
+    # A stop sent by the previous owner shortly before the takeover may not show in the workers'
+    # lists yet.
     former_stops_listed_s = node.ownership.claimed_s + node.bounds.stop_s + STOP_MARGIN_S
     if at.now_s < former_stops_listed_s:
         return False
@@ -59,12 +61,12 @@
 
 def is_available(node: Node, task: Task) -> bool:
     """
-    Tell whether a task that lasts was at work when its worker last answered, and is not being
+    Return whether a long-running task was up when its worker last answered, and is not being
     stopped.
 
     :param node: the instance.
     :param task: the task.
-    :returns: whether it works.
+    :returns: whether it counts as available.
     """
     worker = node.workers.get(task.worker)
     if task.status != _book.RUNNING or worker is None or worker.is_failing:
@@ -76,12 +78,12 @@
 
 def other_candidates(node: Node, at: Moment, worker: Worker) -> list[_candidates.Candidate]:
     """
-    Give the workers to which tasks of a worker could go.
+    Return the workers to which tasks of a worker could move.
 
     :param node: the instance.
     :param at: the time.
-    :param worker: the worker.
-    :returns: the others of its pool that take tasks.
+    :param worker: the worker that the tasks leave.
+    :returns: the other candidate workers of its pool.
     """
     candidates = _candidates.pool_candidates(node, at, worker.entry.service)
     return [candidate for candidate in candidates if candidate.worker is not worker]
@@ -91,11 +93,11 @@
     state: StepState, candidates: list[_candidates.Candidate]
 ) -> _candidates.Candidate | None:
     """
-    Give a worker that has room for one more task of a step.
+    Return the first candidate worker that can take one more task of a step.
 
-    :param state: the step.
+    :param state: state of the step.
     :param candidates: the workers to choose from.
-    :returns: the first that has, or ``None``.
+    :returns: the candidate, or ``None`` if none can take it.
     """
     step = state.step
     running_counts = _candidates.tasks_per_worker(state)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_instances.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_instances.py
@@ -1,9 +1,10 @@
 """
-Lists the instances of workers, empties them and gives orders for them.
+Lists the instances of the fleet, drains them and orders their maintenance or move.
 
-An order stands in the log before it is sent, so a new owner knows which instances may be down. The
-machine service may not check tokens, so a new owner waits before it orders an instance that a
-former one has ordered lately, and an owner gives no order unless the store has just confirmed it.
+An order is written to the log before it is sent, so that a new owner knows which instances may be
+down. The machine service may not check fencing tokens. Therefore a new owner waits before it orders
+an instance that a previous owner has recently ordered, and an owner sends an order only shortly
+after the store has confirmed its ownership.
 """
 
 from . import _candidates, _draining, _registry, _runs, effects, events
@@ -14,31 +15,31 @@
 
 MAINTENANCE = "maintenance"
 MOVE = "move"
-# The list of instances is read this often while orders are out, and otherwise.
+# Interval between lists of instances while drains or orders are in progress, and otherwise.
 BUSY_LIST_INTERVAL_S = 0.5
 IDLE_LIST_INTERVAL_S = 3.0
-# An order that was refused or not answered is tried again after this; one that was not sent, after
-# the second.
+# Retry delay of an order that was refused or not answered, and of one that was not sent.
 ORDER_RETRY_S = 1.0
 UNSENT_RETRY_S = 0.2
-# Orders without an answer at a time; each takes a connection.
+# Outstanding orders; each takes a connection.
 MAX_ORDERS = 20
-# Part of the rate of orders that the machine service takes; others may give some as well.
+# Fraction of the order rate that the machine service accepts; other clients may send orders as
+# well.
 ORDER_RATE_FRACTION = 0.8
-# Orders that were not given in this time may be made up for.
+# Unused order rate of at most this time may be caught up on.
 ORDER_BURST_S = 0.2
-# An order is sent only this long after the store last confirmed the owner.
+# Age of the store's last confirmation of this owner up to which an order may be sent.
 MAX_CONFIRMATION_AGE_S = 0.8
-# Added to the time between orders of two owners, for clocks and queued packets.
+# Added to the time between orders of two owners, for clock differences and queued packets.
 ORDER_MARGIN_S = 0.5
-# An instance that was ordered down this long ago is back, or listed as what it is.
+# After this time an instance that was ordered down is up again or listed with its actual state.
 RECENT_ORDER_S = 15.0
 UP = "up"
 
 
 def list_instances(node: Node, at: Moment) -> None:
     """
-    Ask the machine service for its instances when a new list is due.
+    Request the list of instances from the machine service if a new one is due.
 
     :param node: the instance, which owns the log.
     :param at: the time.
@@ -58,7 +59,7 @@
 
 def on_listed(node: Node, at: Moment, event: events.InstancesListed) -> None:
     """
-    Take the list of instances.
+    Process the list of instances.
 
     :param node: the instance.
     :param at: the time.
@@ -84,7 +85,8 @@
 
 def _drop_unlisted(node: Node) -> None:
     """
-    Drop the plans for instances that are gone, which would hold up the rest of their wave.
+    Cancel the drains of instances that are no longer listed, which would block the rest of their
+    wave.
     """
     fleet = node.fleet
     for instance in fleet.emptying.keys() - fleet.rows.keys():
@@ -98,7 +100,7 @@
         if not worker.is_failing or worker.is_over:
             continue
         row = node.fleet.rows.get(worker.entry.instance)
-        # Only what a list says that was asked for after the worker fell silent counts.
+        # Only a list that was requested after the worker became unreachable is evidence.
         if node.fleet.rows_s < worker.failing_since_s or not worker.entry.instance:
             continue
         if row is None:
@@ -112,7 +114,7 @@
 
 def drain_instances(node: Node, at: Moment) -> None:
     """
-    Go on emptying instances, and order those that are empty.
+    Continue draining instances, and order those that are empty.
 
     :param node: the instance, which owns the log.
     :param at: the time.
@@ -121,7 +123,8 @@
         if worker.entry.is_draining and worker.is_listed and not worker.is_failing:
             _draining.drain_long_running(node, at, worker)
     if node.registry.ok_s <= node.ownership.claimed_s:
-        # Which workers the instances hold is not known yet.
+        # The registry has not been read since the claim, so the workers on the instances are
+        # unknown.
         return
     for instance, reason in list(node.fleet.emptying.items()):
         if instance in node.fleet.down or instance in node.fleet.in_flight:
@@ -142,7 +145,7 @@
 
 def _within_order_limits(node: Node, at: Moment) -> bool:
     """
-    Tell whether the machine service takes one more order now.
+    Return whether the limits of outstanding orders and of the order rate allow one more order.
     """
     fleet = node.fleet
     return len(fleet.in_flight) < MAX_ORDERS and at.now_s >= fleet.next_order_s
@@ -158,8 +161,8 @@
 
 def _may_have_runs(node: Node, instance: str) -> bool:
     """
-    Tell whether anything may run on an instance, whether its workers are listed or not: entries
-    lapse while the store is away.
+    Return whether anything may run on an instance, also if its worker is no longer listed: registry
+    entries expire while the store is unavailable.
     """
     row = node.fleet.rows.get(instance)
     if row is not None and row.worker and row.worker in node.book.running:
@@ -172,29 +175,29 @@
 
 def _former_order_expired(node: Node, at: Moment, instance: str) -> bool:
     """
-    Tell whether no former owner has given the instance an order lately, or still may.
+    Return whether no order of a previous owner for the instance is recent or may still be sent.
     """
     order = node.book.orders.get(instance)
     if order is None or order.epoch == node.ownership.epoch:
         return True
     age_s = min_age_s(node, at, order)
     if not order.is_done:
-        # It may have been sent until this owner's claim.
+        # The previous owner may have sent it at any time up to this owner's claim.
         age_s = min(age_s, at.now_s - node.ownership.claimed_s)
     return age_s > node.bounds.order_lease_s + ORDER_MARGIN_S
 
 
 def min_age_s(node: Node, at: Moment, order: InstanceOrder) -> float:
     """
-    Give the time that has passed at least since an order was given, whatever clocks of day say.
+    Return the least time that has passed since an order was given, independent of wall clocks.
 
-    An instance that has just started reads old and new orders at the same moment, so the time that
-    the log tells goes beyond what it has seen itself.
+    An instance that has just started reads old and recent orders at the same moment. The time that
+    the log itself records therefore counts if it is longer than the time since the order was read.
 
     :param node: the instance.
     :param at: the time.
     :param order: the order.
-    :returns: seconds.
+    :returns: age in seconds.
     """
     log_age_s = node.book.log_s - order.log_s + at.now_s - node.book.log_read_s
     return max(at.now_s - order.seen_s, log_age_s)
@@ -217,7 +220,7 @@
 
 def is_order_allowed(node: Node, at: Moment) -> bool:
     """
-    Tell whether the store has confirmed this owner recently enough for an order.
+    Return whether the store has confirmed this owner recently enough to send an order.
 
     :param node: the instance.
     :param at: the time.
@@ -230,7 +233,7 @@
 
 def send_order(node: Node, at: Moment, effect: effects.OrderInstance) -> None:
     """
-    Send an order whose record stands in the log, if it still may be sent.
+    Send an order whose record is committed, unless the confirmation of this owner is too old.
 
     :param node: the instance.
     :param at: the time.
@@ -245,7 +248,7 @@
 
 def on_ordered(node: Node, at: Moment, event: events.InstanceOrderAnswered) -> None:
     """
-    Take the outcome of an order.
+    Process the outcome of an order.
 
     :param node: the instance.
     :param at: the time.
@@ -272,7 +275,7 @@
         write(node, at, InstanceDone(node.ownership.epoch, event.instance, event.wave))
         return
     if event.outcome == events.UNKNOWN:
-        # It may be down already; the next try is answered as done if it was.
+        # The instance may be down already; in that case the retry is answered as done.
         fleet.retry_s[event.instance] = at.now_s + ORDER_RETRY_S
         return
     is_unsent = event.outcome == events.UNSENT
@@ -284,10 +287,12 @@
 
 def resume_orders(node: Node, at: Moment) -> None:
     """
-    Go on with the orders of a former owner: those that may not have been carried out are sent
-    again, and their instances stay empty until then.
+    Resume the orders of a previous owner.
 
-    :param node: the instance, which has just come to own the log.
+    Orders that may not have been carried out are sent again, and their instances stay drained until
+    then.
+
+    :param node: the instance, which has just become the owner of the log.
     :param at: the time.
     """
     for instance, order in node.book.orders.items():
@@ -299,7 +304,7 @@
         else:
             node.fleet.emptying[instance] = MOVE
             node.fleet.pool_of[instance] = order.pool
-    # Any instance that was ordered a moment ago may be down still.
+    # Any instance that was ordered recently may still be down.
     for instance, order in node.book.orders.items():
         if order.is_done and min_age_s(node, at, order) < RECENT_ORDER_S:
             node.fleet.down[instance] = at.now_s
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_operator.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_operator.py
@@ -1,19 +1,19 @@
 """
-Follows what the operator publishes: the configuration and the maintenance waves.
+Follows the records that the operator publishes: the configuration and the maintenance waves.
 """
 
 from . import effects, events
 from ._node import Moment, Node, WaveState, emit, log_line
 
-# How long a read waits for news; bounds the age of what is known.
+# Long-poll time of a read, which bounds the age of the known configuration.
 READ_WAIT_S = 1.0
-# A read that failed is tried again after this.
+# Delay before a failed read is retried.
 RETRY_S = 0.15
 
 
 def read(node: Node, at: Moment) -> None:
     """
-    Ask for news, unless that is under way.
+    Send a read for new records, unless one is outstanding or the retry delay runs.
 
     :param node: the instance.
     :param at: the time.
@@ -27,11 +27,11 @@
 
 def on_read(node: Node, at: Moment, event: events.OperatorRead) -> None:
     """
-    Take news. A configuration never gives way to an older one.
+    Process records of the operator. A configuration is never replaced by an older one.
 
     :param node: the instance.
     :param at: the time.
-    :param event: the news.
+    :param event: the records.
     """
     operator = node.operator
     operator.is_reading = False
@@ -66,11 +66,11 @@
 
 def on_failed(node: Node, at: Moment, event: events.OperatorReadFailed) -> None:
     """
-    Take note that the operator's records can't be read.
+    Schedule a retry after a failed read of the operator's records.
 
     :param node: the instance.
     :param at: the time.
-    :param event: why.
+    :param event: the failure.
     """
     operator = node.operator
     operator.is_reading = False
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_orders.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_orders.py
@@ -1,10 +1,10 @@
 """
-Orders to start tasks: sent once their record stands in the log, and followed until it is known
-what became of them.
+Orders workers to start tasks, and tracks each order until its outcome is known.
 
-An order is sent once. Without an answer it may be carried out at any later time, and a second copy
-could be carried out by the worker's next life after the first has ended. So the worker's lists tell
-whether it was carried out, and if not, a stop bars the run before the task starts anew.
+An order is sent once its record is committed to the log, and never sent again. An unanswered order
+may be carried out at any later time, and the worker's next incarnation could carry out a second
+copy after the first run has exited. The worker's lists show whether the order was carried out. If
+it was not, a stop bars the run before the task is started again.
 """
 
 from . import _book, _journal, _leases, _workers, effects, events
@@ -13,11 +13,11 @@
 from ._records import Started
 from ._runs import end_run, fencing_token, runs_on
 
-# An order is void after this, so that one that is carried out late does no harm.
+# Lifetime of an order, after which a delayed order has no effect.
 ORDER_TTL_S = 2.5
-# Orders to one worker that may be without an answer: each takes a connection.
+# Unanswered orders to one worker; each takes a connection.
 MAX_OUTSTANDING = 2
-# A worker that refused a start gets no other one for this long.
+# A worker that refused a start gets no other one for this time.
 REFUSED_BACKOFF_S = 0.5
 UNSENT = "unsent"
 REFUSED = "refused"
@@ -25,14 +25,14 @@
 
 def start(node: Node, at: Moment, worker: Worker, task: Task, run: int, ticket: str) -> None:
     """
-    Decide to start a task on a worker.
+    Record that a task starts on a worker, and order the start once the record is committed.
 
     :param node: the instance, which owns the log.
     :param at: the time.
     :param worker: the worker.
     :param task: the task.
     :param run: number of the run.
-    :param ticket: ticket of the advice service, or empty.
+    :param ticket: ticket of the advice service, or an empty string.
     """
     key = task.key
     record = Started(node.ownership.epoch, *key, run, worker.id, worker.entry.incarnation)
@@ -66,11 +66,14 @@
 
 def send(node: Node, at: Moment, effect: effects.StartTask) -> None:
     """
-    Send an order whose record stands in the log, if it still holds.
+    Send an order whose record is committed, if it is still valid.
+
+    The run ends as unsent if the job is closed or the worker no longer takes tasks. The order is
+    queued while the worker has the maximum of unanswered orders.
 
     :param node: the instance.
     :param at: the time.
-    :param effect: the order as decided.
+    :param effect: the order as it was recorded.
     """
     worker = node.workers.get(effect.worker)
     task = runs_on(node, effect.worker).get(effect.key)
@@ -91,7 +94,7 @@
     order.sent_s = at.now_s
     order.lease_ms = _leases.clock_ms(worker, at.now_s + ORDER_TTL_S)
     worker.granted_ms = max(worker.granted_ms, order.lease_ms)
-    # The first hold after a start is what renews the lease and waits for the end.
+    # The next hold renews the lease of the order and waits for the run's exit.
     worker.next_hold_s = min(worker.next_hold_s, at.now_s)
     emit(
         node,
@@ -105,7 +108,7 @@
 
 def on_answered(node: Node, at: Moment, event: events.StartAnswered) -> None:
     """
-    Take the outcome of an order.
+    Process the outcome of an order, and send the queued orders that may go out now.
 
     :param node: the instance.
     :param at: the time.
@@ -156,9 +159,9 @@
 
 def next_run_number(tasks: list[Task]) -> int:
     """
-    Give the number of the next run of tasks that start together.
+    Return the number of the next run of tasks that start together.
 
     :param tasks: the tasks.
-    :returns: one more than any of them has had.
+    :returns: one more than the highest run number of any of them.
     """
     return 1 + max(task.run for task in tasks)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ready.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ready.py
@@ -1,9 +1,10 @@
 """
-Says which steps have tasks to start, and in which order.
+Selects the steps that have tasks to start, and their order.
 
-Tasks that last go first, since they must never wait while there is room. Then come jobs by priority
-and by the end of their objective, those that are late included: a job that is passed over again and
-again is not served at all, and estimates are too far off to tell which are past all use.
+Long-running tasks go first, since they must never wait while there is capacity for them. Other jobs
+follow by priority and then by the deadline of their objective. Jobs past their deadline keep their
+place: a job that is passed over repeatedly would starve, and estimates are too imprecise to tell
+which jobs are too late to be of use.
 """
 
 from collections.abc import Iterator
@@ -18,7 +19,7 @@
     """
     A step that has tasks to start.
 
-    :param sort_key: what goes first, the least before the others.
+    :param sort_key: position in the start order, lowest first.
     """
 
     sort_key: tuple[float, ...]
@@ -31,11 +32,11 @@
 
 def waiting_steps(node: Node, at: Moment) -> Iterator[tuple[ReadyStep, bool]]:
     """
-    Give the steps that have tasks without a run, and whether these may start.
+    Yield the steps that have tasks without a run, and whether these may start.
 
     :param node: the instance.
     :param at: the time.
-    :returns: the steps, in no order; those that may not start yet have an empty `ReadyStep.sort_key`.
+    :returns: the steps in no particular order; those that may not start yet have an empty sort key.
     """
     for job in node.book.open_jobs.values():
         queue = queue_of(node, job)
@@ -54,7 +55,10 @@
 
 def queue_of(node: Node, job: Job) -> Queue | None:
     """
-    Give the queue of a job; a queue that was dropped works on as it was when the job came.
+    Return the queue of a job.
+
+    If the configuration no longer names the queue, a default one for the pool that the job was
+    submitted to stands in for it.
 
     :param node: the instance.
     :param job: the job.
@@ -80,11 +84,13 @@
 
 def critical_paths_s(steps: tuple[Step, ...]) -> tuple[float, ...]:
     """
-    Give the longest chain of work by declared durations, for each step the one that begins with
-    steps numbered before it left out.
+    Return the critical path of declared durations for each step.
+
+    The value at a step counts neither the steps that are numbered before it nor their durations;
+    dependencies on them cost no time.
 
     :param steps: the steps of a job.
-    :returns: seconds for each step; the first is that of the whole job.
+    :returns: seconds for each step; the first value is the critical path of the whole job.
     """
     return tuple(_critical_path_s(steps, first) for first in range(len(steps)))
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_reduce.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_reduce.py
@@ -1,5 +1,5 @@
 """
-One reducer over all events of jobs.
+Reducer that passes each event of jobs to its handler.
 """
 
 from collections.abc import Callable
@@ -31,13 +31,13 @@
 )
 from ._node import Moment, Node
 
-# Jobs that ended long ago are dropped this often.
+# Interval at which jobs that ended long ago are dropped.
 PRUNE_INTERVAL_S = 5.0
 
 
 def reduce(node: Node, at: Moment, event: object) -> list[Any]:
     """
-    Take an event.
+    Process an event.
 
     :param node: the instance, changed in place.
     :param at: the time.
@@ -108,7 +108,7 @@
         _workers.hold_acknowledged(node, at, list(in_flight.acks))
         if event.outcome == events.OK:
             _tail.fold_callers(node, at, callers)
-        # Orders whose records now stand in the log are checked once more before they go out.
+        # Orders whose records are now committed are checked once more before they are sent.
         produced, node.out = node.out, []
         for effect in produced:
             if isinstance(effect, effects.StartTask):
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_runs.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_runs.py
@@ -1,5 +1,5 @@
 """
-Ends of runs and of jobs, as the owner records them.
+Records the exits of runs and the completion of jobs, as the owner of the log.
 """
 
 from collections.abc import Iterator
@@ -10,40 +10,40 @@
 from ._records import Closed, Ended
 from .model import TaskKey
 
-# A run that is known to run no more, without an end that a worker listed.
+# Exit of a run that no longer runs, without an exit that a worker listed.
 LOST = "lost"
-# A stop without an effect is sent again after this.
+# A stop that had no effect is sent again after this time.
 STOP_RETRY_S = 0.8
-# Attempts of a task whose queue the configuration no longer names.
+# Attempts of a task whose queue is no longer in the configuration.
 DEFAULT_MAX_ATTEMPTS = 3
-# Tokens of one owner for a worker.
+# Fencing tokens that one owner has for a worker.
 TOKENS_PER_EPOCH = 1000
 MAX_RAISES = TOKENS_PER_EPOCH - 1
-# Most tasks that one line of the log names.
+# Failed tasks that one log line names.
 MAX_LOGGED_FAILURES = 6
 
 
 def runs_on(node: Node, worker_id: str) -> dict[TaskKey, Task]:
     """
-    Give the runs that may be on a worker.
+    Return the runs that may be on a worker.
 
     :param node: the instance.
     :param worker_id: the worker.
-    :returns: the tasks.
+    :returns: the tasks by key.
     """
     return node.book.running.get(worker_id, {})
 
 
 def end_run(node: Node, at: Moment, worker: Worker, task: Task, how: str, saved: str = "") -> None:
     """
-    Record that a run has ended.
+    Record the exit of a run, and close its job if that was its last run or failed too often.
 
     :param node: the instance.
     :param at: the time.
-    :param worker: where it ran.
+    :param worker: the worker on which it ran.
     :param task: its task.
-    :param how: how it ended.
-    :param saved: its newest checkpoint, or empty.
+    :param how: the end state.
+    :param saved: its newest checkpoint, or an empty string.
     """
     key = task.key
     worker.orders.pop(key, None)
@@ -89,11 +89,11 @@
 
 def max_attempts(node: Node, job: Job) -> int:
     """
-    Give the failed runs after which a task fails its job.
+    Return the number of failed runs after which a task fails its job.
 
     :param node: the instance.
     :param job: the job.
-    :returns: the bound of its queue; a queue that was dropped keeps the usual one.
+    :returns: the limit of the job's queue, or the default if the queue is no longer configured.
     """
     queue = node.config.queues.get(job.queue) if node.config else None
     return queue.max_attempts if queue else DEFAULT_MAX_ATTEMPTS
@@ -101,7 +101,7 @@
 
 def close_job(node: Node, at: Moment, job: Job, state: str) -> None:
     """
-    Record that a job has ended, and stop what still runs of it.
+    Record that a job has ended, and stop its remaining runs.
 
     :param node: the instance, which owns the log.
     :param at: the time.
@@ -131,7 +131,7 @@
 
 def tasks_of(job: Job) -> Iterator[Task]:
     """
-    Give the tasks of a job that were looked at.
+    Yield the tasks of the occurrences of a job that have been created so far.
 
     :param job: the job.
     :returns: its tasks.
@@ -143,22 +143,22 @@
 
 def fencing_token(node: Node, worker: Worker) -> int:
     """
-    Give the fencing token for a worker.
+    Return the fencing token for a worker.
 
-    It rises with each owner, each time that the worker falls silent, and with each restart under
-    its id: a new life knows no token, and would carry out orders that were held up on their way to
-    the former one.
+    It increases with each owner, each time the worker becomes unreachable, and each time a worker
+    restarts under the same id: a new incarnation knows no token, and would carry out delayed orders
+    that were sent to the previous one.
 
     :param node: the instance, which owns the log.
     :param worker: the worker.
-    :returns: the token.
+    :returns: the fencing token.
     """
     return node.ownership.epoch * TOKENS_PER_EPOCH + worker.raises
 
 
 def raise_token(worker: Worker) -> None:
     """
-    Shut out all orders that were sent to a worker so far, from its next answer on.
+    Invalidate all orders that were sent to a worker so far, as of its next answer.
 
     :param worker: the worker.
     """
@@ -167,7 +167,7 @@
 
 def epoch_of(token: int) -> int:
     """
-    Give the epoch of the owner that a token belongs to.
+    Return the epoch of the owner that a token belongs to.
 
     :param token: a token of `fencing_token`.
     :returns: the epoch.
@@ -177,13 +177,13 @@
 
 def send_stop(node: Node, at: Moment, worker: Worker, key: TaskKey, run: int) -> None:
     """
-    Order a stop, unless one was sent just now.
+    Order a stop of a run, unless one was sent within the retry interval.
 
     :param node: the instance.
     :param at: the time.
-    :param worker: where the task runs.
+    :param worker: the worker on which the task runs.
     :param key: the task.
-    :param run: its run.
+    :param run: number of the run.
     """
     sent_run, sent_s = worker.stops.get(key, (0, -1e9))
     if sent_run == run and at.now_s - sent_s < STOP_RETRY_S:
@@ -195,12 +195,12 @@
 
 def mark_all_lost(node: Node, at: Moment, worker: Worker, reason: str) -> None:
     """
-    Record that nothing runs on a worker any more.
+    Record all runs on a worker as lost.
 
     :param node: the instance.
     :param at: the time.
     :param worker: the worker.
-    :param reason: why, for the log.
+    :param reason: the reason for the log line.
     """
     runs = list(runs_on(node, worker.id).values())
     if runs:
@@ -211,11 +211,11 @@
 
 def listed_checkpoint(worker: Worker, task: Task) -> str:
     """
-    Give the newest checkpoint that a worker has listed for a task.
+    Return the newest checkpoint that a worker has listed for the current run of a task.
 
     :param worker: the worker.
     :param task: the task.
-    :returns: the checkpoint, or empty.
+    :returns: the checkpoint, or an empty string.
     """
     row = worker.rows.get(task.key)
     return row.saved if row is not None and row.run == task.run else ""
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_shutdown.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_shutdown.py
@@ -1,19 +1,19 @@
 """
-Ends the process without cutting a call: gives the log up, answers what is open, then exits.
+Shuts the process down gracefully: releases the log, answers open calls, then exits.
 """
 
 from . import _intake, _journal, _ownership, effects, events
 from ._node import Moment, Node, emit, log_line
 
-# Callers that connect until the balancer has noticed are still answered.
+# Calls are still answered for this time, until the load balancer has noticed the shutdown.
 BALANCER_DELAY_S = 2.3
-# Left of the time until the process is killed.
+# Time left before the process is killed.
 KILL_MARGIN_S = 1.0
 
 
 def on_stop_requested(node: Node, at: Moment, _event: events.StopAsked) -> None:
     """
-    Begin to stop.
+    Begin the shutdown.
 
     :param node: the instance.
     :param at: the time.
@@ -29,7 +29,7 @@
 
 def advance(node: Node, at: Moment) -> None:
     """
-    Exit once nothing is left to do, or just before the process would be killed.
+    Exit once no work is left, or shortly before the process would be killed.
 
     :param node: the instance.
     :param at: the time.
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_waves.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_waves.py
@@ -1,6 +1,6 @@
 """
-Works off maintenance waves: chooses the instances that are emptied and maintained next, and
-publishes how far a wave is.
+Carries out maintenance waves: chooses the instances to drain and maintain next, and publishes the
+state of each wave.
 """
 
 from . import _runs, effects, events
@@ -10,17 +10,18 @@
 from ._records import WaveClosed
 from .model import InstanceRow, Room
 
-# Load of a pool above which its instances wait for their turn, while the wave has time.
+# Load of a pool at which its instances are not drained while the wave has time.
 BUSY_POOL_LOAD = 0.6
-# Time to empty an instance and to have it back, beyond its maintenance; as short tasks take.
+# Time to drain an instance and to have it back, beyond its maintenance; bounded by the duration of
+# short tasks.
 DRAIN_S = 2.5
-# Part of a wave's time after which load does not hold it up any more.
+# Fraction of a wave's remaining time; if the remaining work needs more, the pool load is ignored.
 URGENT_FRACTION = 0.5
 
 
 def advance(node: Node, at: Moment) -> None:
     """
-    Take the next steps of every wave.
+    Advance every wave.
 
     :param node: the instance, which owns the log.
     :param at: the time.
@@ -43,7 +44,7 @@
 
 def on_published(node: Node, at: Moment, event: events.WaveStatusAnswered) -> None:
     """
-    Take note that the state of a wave is published.
+    Record that the state of a wave has been published.
 
     :param node: the instance.
     :param at: the time.
@@ -59,7 +60,7 @@
 
 def _remaining_instances(node: Node, state: WaveState) -> list[InstanceRow]:
     """
-    Give the instances of a wave that are still there and not maintained yet.
+    Return the instances of a wave that are still listed and not maintained yet.
     """
     done = node.book.maintained.get(state.wave.number, set())
     rows = (node.fleet.rows.get(name) for name in state.wave.instances if name not in done)
@@ -112,10 +113,10 @@
 
 def pool_load(node: Node, pool: str) -> float:
     """
-    Give the part of a pool's processors that is in use.
+    Return the fraction of a pool's processor capacity that is in use.
 
     :param node: the instance.
-    :param pool: the pool.
+    :param pool: name of the pool.
     :returns: 0 to 1; 1 for a pool without workers.
     """
     capacity = used = 0
