--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_advice.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_advice.py
@@ -2,8 +2,8 @@
 Requests tickets from the advice service, which decides on which workers a step may run.
 
 The service accepts one call at a time from each instance, and a call takes longer the more workers
-it names. The decision for a step and a worker never changes, so a ticket is requested once, and again
-only after it has expired.
+it names. The decision for a step and a worker never changes, so a ticket is requested once, and
+again only after it has expired.
 """
 
 from typing import Any
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_throttling.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_pacing.py
@@ -1,9 +1,10 @@
 """
-Paces backfill, so that it does not harm the work that serves beside it.
+Throttles backfill, so that it does not slow down the serving tasks on the same worker.
 
-What disturbs whom differs by image and changes within seconds, and workers give rough figures. So
-each worker's backfill is slowed as soon as a serving task there comes near its target, and
-let go step by step once all of them have been well below theirs for a while.
+How strongly tasks interfere depends on their images and changes within seconds, and workers report
+coarse figures. Therefore a worker's backfill is throttled as soon as a serving task there comes
+near its response time target, and its speed is raised step by step once all serving tasks have been
+well below their targets for some time.
 """
 
 import msgspec
@@ -15,28 +16,29 @@
 from .model import RunRow, Step, TaskKey
 
 FULL_PERCENT = 100
-# Part of its target at which a serving task is in danger; the figures are averages of half a
-# second, so a task is over its target now and then before its average shows it.
+# Fraction of its target at which a serving task is at risk. Workers report averages of half a
+# second, so a task may exceed its target before the average shows it.
 THROTTLE_RATIO = 0.8
-# Part of its target below which a serving task leaves room for more.
+# Fraction of its target below which a serving task leaves capacity for more backfill.
 CLEAR_RATIO = 0.6
-# Backfill is slowed to this part at a time, and stopped below the least percent.
+# Backfill speed is multiplied by this factor, and set to zero below the minimum.
 THROTTLE_FACTOR = 0.5
 MIN_PERCENT = 13
-# Backfill is let go in steps of this much, each after a calm time.
+# Backfill speed is raised in steps of this size, each after a time with all tasks below the clear
+# ratio.
 RECOVERY_STEP_PERCENT = 20
 RECOVERY_DELAY_S = 1.5
-# An order takes this long to show in the figures.
+# Time until a change of speed shows in the reported figures.
 SETTLING_TIME_S = 0.7
 
 
 class BackfillThrottle(msgspec.Struct, eq=False):
     """
-    The pace of the backfill of a worker.
+    Throttling of the backfill on a worker.
 
-    :param percent: share of their speed at which they work.
-    :param changed_s: when it was last changed.
-    :param clear_since_s: since when all serving tasks have been well below their targets.
+    :param percent: speed of the backfill as a percentage of full speed.
+    :param changed_s: when the speed was last changed.
+    :param clear_since_s: since when all serving tasks have been below `CLEAR_RATIO`, or ``None``.
     """
 
     percent: int = FULL_PERCENT
@@ -46,7 +48,7 @@
 
 def on_rows(node: Node, at: Moment, worker: Worker) -> None:
     """
-    Adjust the pace of a worker's backfill to what it has listed.
+    Adjust the speed of a worker's backfill after the worker has listed its runs.
 
     :param node: the instance, which owns the log.
     :param at: the time.
@@ -96,12 +98,12 @@
 
 def next_percent(throttle: BackfillThrottle, worst_ratio: float, now_s: float) -> int:
     """
-    Decide the pace of backfill.
+    Return the new speed of the backfill on a worker.
 
-    :param throttle: their pace so far; when calm began is noted in it.
-    :param worst_ratio: the largest part of its target that a serving task beside them shows.
-    :param now_s: the clock.
-    :returns: the new percent.
+    :param throttle: the current throttling; `clear_since_s` is updated.
+    :param worst_ratio: highest ratio of response time to target among the serving tasks.
+    :param now_s: the current time.
+    :returns: the new speed in percent.
     """
     if worst_ratio >= CLEAR_RATIO:
         throttle.clear_since_s = None
@@ -137,7 +139,7 @@
 
 def on_throttle_answered(node: Node, at: Moment, event: events.PaceAnswered) -> None:
     """
-    Take the outcome of a pace; one that was not taken is sent again with the next list.
+    Process the outcome of a throttle order; an order that failed is sent again after the next list.
 
     :param node: the instance.
     :param at: the time.
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_planner.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_planner.py
@@ -1,8 +1,8 @@
 """
-Chooses where tasks start.
+Chooses the workers on which tasks start.
 
-A plan is made many times a second while the queues are long, so it tries no step that needs as much
-as one for which no worker had room.
+While the queues are long a plan is made many times a second. Therefore a plan skips each step that
+needs at least as much as another one for which no worker had the resources.
 """
 
 from collections import Counter
@@ -15,33 +15,36 @@
 from ._runs import close_job
 from .model import NO_ROOM, Room, Step
 
-# A task of a suspect worker is tried this often.
+# Minimum time between two starts on a suspect worker.
 SUSPECT_INTERVAL_S = 2.0
-# While tasks wait for room, plans are made this often; a fiftieth of the slack of short jobs.
+# Interval between plans while tasks wait for resources; a fiftieth of the slack of short jobs.
 REPLAN_INTERVAL_S = 0.02
 
 
 class PoolCandidates:
     """
-    The workers of a pool in one plan.
+    The candidate workers of a pool in one plan.
 
-    :param candidates: the workers that take tasks.
-    :param unplaceable: rooms that no worker had free; what is free only becomes less in a plan.
+    :param candidates: the workers that accept tasks.
+    :param unplaceable: resources that no worker had free; they stay unplaceable, since free
+        resources only decrease during a plan.
     """
 
     def __init__(self, candidates: list[Candidate]) -> None:
         """
-        :param candidates: the workers that take tasks.
+
+        :param candidates: the workers that accept tasks.
         """
         self.candidates = candidates
         self.unplaceable: list[Room] = []
 
     def may_fit(self, resources: Room) -> bool:
         """
-        Tell whether a room is worth trying.
+        Return whether resources are worth trying to place.
 
-        :param resources: what a task needs.
-        :returns: whether it needs less than what was refused, in one part at least.
+        :param resources: the resources that a task needs.
+        :returns: whether there are candidates, and the task needs less of some resource than each
+            request that could not be placed.
         """
         return bool(self.candidates) and not any(
             unplaced.fits(resources) for unplaced in self.unplaceable
@@ -50,10 +53,10 @@
 
 def plan(node: Node, at: Moment) -> None:
     """
-    Start what can be started.
+    Start all tasks that can start now.
 
     :param node: the instance, which owns the log.
-    :param step_index: the time.
+    :param at: the time.
     """
     if node.config is None or at.now_s < node.next_plan_s:
         return
@@ -116,8 +119,10 @@
 
 def _can_reuse_candidate(node: Node, item: ReadyStep, task: Task, candidate: Candidate) -> bool:
     """
-    Tell whether the worker that took the last task is the best for the next one as well: it has the
-    least room left, so it is, as long as nothing else than its room decides.
+    Return whether the worker that took the last task is also the best one for the next task.
+
+    The last worker has the least capacity left, so it is the best one as long as only capacity
+    decides.
     """
     step = item.state.step
     only_capacity_decides = not step.max_per_worker and not item.queue.has_advice
@@ -127,10 +132,10 @@
 
 def _preferred_zone(node: Node, item: ReadyStep, candidates: list[Candidate]) -> str:
     """
-    Give the availability zone for the tasks of a step: that of the job's other tasks, else the one
-    with the most room. A zone that is lost then takes few jobs with it.
+    Return the availability zone for the tasks of a step: the zone of the job's other tasks, or else
+    the one with the most free capacity. The loss of a zone then affects few jobs.
 
-    :returns: the zone, or empty for work that lasts.
+    :returns: the zone, or an empty string for long-running tasks.
     """
     if item.state.step.lasts:
         return ""
@@ -148,7 +153,8 @@
 def _place_gang(
     node: Node, at: Moment, item: ReadyStep, waiting: list[Task], pool: PoolCandidates
 ) -> None:
-    # Members that still run belong to the former try; the gang starts again when all have ended.
+    # Members that still run belong to the previous attempt; the gang starts again once all of them
+    # have exited.
     if len(waiting) < item.state.step.count:
         return
     if within_limit(node, item.job, item.state.step, len(waiting)) < len(waiting):
@@ -167,12 +173,12 @@
     node: Node, at: Moment, item: ReadyStep, waiting: list[Task], candidates: list[Candidate]
 ) -> list[Candidate]:
     """
-    Give a worker for each member, on one rack if that is asked for and one has room; fewer when
-    there is no room for all.
+    Return a worker for each member of a gang, on one rack if the step asks for that and a rack has
+    the capacity. Return fewer workers than members if there is not enough capacity for all.
     """
     assigned: list[Candidate] = []
     for rack in _racks_to_try(item.state.step, candidates):
-        # Tried on copies, since the members count against what is free only once all have room.
+        # Uses copies, since the members take up free resources only if all of them can be placed.
         trial = [
             Candidate(candidate.worker, list(candidate.free))
             for candidate in candidates
@@ -187,7 +193,7 @@
 
 def _racks_to_try(step: Step, candidates: list[Candidate]) -> list[str]:
     """
-    Give the racks to try a gang on; the empty name stands for all of them together.
+    Return the racks to try for a gang; an empty name stands for all racks together.
     """
     racks = (
         sorted({candidate.worker.entry.rack for candidate in candidates}) if step.same_rack else []
@@ -218,13 +224,13 @@
 
 def within_limit(node: Node, job: Job, step: Step, count: int) -> int:
     """
-    Say how many more tasks a workspace may have running.
+    Return how many more tasks the limit of a workspace allows.
 
     :param node: the instance.
     :param job: the job whose tasks would start.
-    :param step: their step.
-    :param count: how many there are.
-    :returns: how many of them its limit allows.
+    :param step: the step of the tasks.
+    :param count: number of tasks that would start.
+    :returns: number of those tasks that the limit allows.
     """
     workspace = node.config.workspaces.get(job.workspace) if node.config else None
     if workspace is None:
@@ -266,7 +272,7 @@
             not _candidates.is_suspect(worker),
             not step.data_rack or step.data_rack == worker.entry.rack,
             not preferred_zone or worker.entry.zone == preferred_zone,
-            # Packed, so that instances become empty and can be maintained or moved.
+            # Bin packing leaves other instances empty, so that they can be maintained or moved.
             -candidate.free[0].millicores,
         )
         if best is None or score > best_score:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_pools.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_pools.py
@@ -1,9 +1,9 @@
 """
-Moves instances between pools, so that each pool has what its queues need and no more.
+Moves instances between pools, so that each pool has the capacity that its queues need.
 
-The pattern that this answers is demand that turns: each queue is nearly idle for most of the time
-and then asks for several times its mean for some seconds. Instances that are not needed wait in the
-standby pool, where they cost nothing, and come to the pool whose turn it is.
+This is designed for shifting demand: each queue is nearly idle for most of the time and then needs
+several times its mean for some seconds. Instances that are not needed wait in the standby pool,
+where they cost nothing, and move to the pool that has the demand.
 """
 
 import math
@@ -18,28 +18,29 @@
 from ._node import Moment, Node, Worker, log_line
 from .model import Room
 
-# Work that waits is met as if it were to be worked off at once; of later steps, this part.
+# Waiting work counts in full, as if all of it ran at once. Work of steps that wait for earlier ones
+# counts with this weight.
 BLOCKED_STEP_WEIGHT = 0.5
-# Empty instances that each pool keeps beyond its need, for the first work of a turn, which comes
-# before more instances can.
+# Empty instances that each pool keeps beyond its need, for the first work of a burst, which arrives
+# before more instances can be moved.
 MIN_RESERVE = 2
-# The same as a part of an even share of all instances, since the turns of large pools rise by more
-# instances while the first ones move.
+# The reserve as a fraction of an even share of all instances, since the demand of large pools rises
+# by more instances while the first ones move.
 RESERVE_FRACTION = 1 / 4
-# A pool has to be too large for this long before it gives an instance away: as long as an idle
-# instance costs as much as the two moves of its return.
+# A pool gives an instance away only after it has been too large for this time, in which an idle
+# instance costs as much as moving it away and back.
 SURPLUS_DELAY_S = 2.0
 MOVING = "moving"
-# Pools are looked at this often.
+# Interval between decisions on the pool sizes.
 RESIZE_INTERVAL_S = 0.1
 
 
 class PoolDemand(NamedTuple):
     """
-    What the queues of a pool need.
+    Demand of the queues of a pool.
 
-    :param long_running: instances that hold tasks that last.
-    :param millicores: for work that runs, waits or is about to come.
+    :param long_running: number of workers that have long-running tasks.
+    :param millicores: processor demand of tasks that run, wait or wait for earlier steps.
     """
 
     long_running: int
@@ -48,10 +49,10 @@
 
 class PoolState(msgspec.Struct, eq=False):
     """
-    A pool over time.
+    Sizing of a pool over time.
 
     :param surplus_since_s: since when the pool has been too large, or ``None``.
-    :param wanted: instances that it should have.
+    :param wanted: number of instances that it should have.
     """
 
     surplus_since_s: float | None = None
@@ -60,7 +61,7 @@
 
 def advance(node: Node, at: Moment) -> None:
     """
-    Decide which instances move.
+    Decide which instances move to other pools.
 
     :param node: the instance, which owns the log.
     :param at: the time.
@@ -90,7 +91,8 @@
 
 def _is_state_known(node: Node, at: Moment) -> bool:
     """
-    Tell whether every worker has answered this owner, or has failed to.
+    Return whether each listed worker has answered this owner or failed to answer, and the instances
+    were listed after the claim.
     """
     is_known = all(
         worker.is_held or worker.is_failing for worker in node.workers.values() if worker.is_listed
@@ -140,7 +142,7 @@
 
 def _count_members(node: Node, at: Moment) -> dict[str, int]:
     """
-    Count the instances of each pool, with those that are on their way there.
+    Count the instances of each pool, including those that are moving to it.
     """
     fleet = node.fleet
     members: dict[str, int] = defaultdict(int)
@@ -192,7 +194,7 @@
 
 def _surplus_instance(node: Node, pool: str, sizes: dict[str, int]) -> str | None:
     """
-    Give an empty instance of the pool that can best do without it.
+    Return an empty instance of the other pool with the largest surplus, or ``None``.
     """
     donor = max(
         (name for name in sizes if name != pool),
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_progress.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_progress.py
@@ -1,9 +1,10 @@
 """
-Watches how fast tasks get on, and takes them away from workers that are slow or stand still.
+Detects slow or stalled tasks by their progress, and moves them away from slow workers.
 
-A worker lists the progress of its tasks, which gives the time that a task still needs there, and
-the time that it would need elsewhere, from its own best speed or that of other tasks of its step.
-A task is moved only when it would end sooner elsewhere and there is room for it.
+A worker lists the progress of its tasks. From that follow the time that a task still needs there
+and the time that it would need on another worker, at its own best rate or at that of other tasks of
+its step. A task is moved only if it would finish sooner elsewhere and another worker has the
+capacity.
 """
 
 from . import _book, _draining, _runs
@@ -11,33 +12,35 @@
 from ._node import Moment, Node, RunProgress, Worker, log_line
 from .model import RunRow
 
-# Progress is compared over at least this long, since the shortest tasks take some tenths of a
-# second, and over at least so many points at the task's best speed, since lists give whole
-# percents; but after the longest time in any case.
+# Progress is measured over at least the minimum time, since the shortest tasks take some tenths of
+# a second. A window also spans at least the minimum percentage at the task's best rate, since lists
+# give whole percents, but no window waits longer than the maximum time.
 MIN_WINDOW_S = 0.2
 MIN_WINDOW_PERCENT = 5.0
 MAX_WINDOW_S = 1.0
-# A task that has made no progress since its start for this long stands still.
+# A task without progress for this long is stalled.
 STALLED_S = 0.6
-# Part of its own best speed below which a task is slow.
+# A task is slow below this fraction of its own best rate.
 SLOW_FRACTION_OF_BEST = 0.4
-# The same against the fastest task of its step, whose sizes differ by some tenths.
+# A task is slow below this fraction of the best rate in its step. It is lower than the fraction
+# above, because the sizes of tasks in a step differ by some tenths.
 SLOW_FRACTION_OF_STEP = 0.3
-# A worker of whose tasks this part is slow is slow itself.
+# A worker is slow if at least this fraction of its tasks is slow.
 SLOW_TASKS_FRACTION = 0.5
-# A slow worker gets no new task for this long after the last sign of it.
+# A slow worker gets no new task for this time after it was last seen slow.
 SLOW_PAUSE_S = 2.0
-# What a move costs: the stop, its entry in the log and the order to start again.
+# Cost of a move: the stop, its record in the log and the order to start again.
 MOVE_COST_S = 0.5
-# The time left has to exceed that of a fresh start by this factor, since both are estimates.
+# The remaining time has to exceed the time of a fresh start by this factor, since both are
+# estimates.
 GAIN_FACTOR = 1.3
-# The least speed that is reckoned with, in percent a second.
+# Lower bound of the rate in estimates, in percent a second.
 MIN_PERCENT_PER_S = 0.5
 
 
 def on_rows(node: Node, at: Moment, worker: Worker) -> None:
     """
-    Take what a worker has listed, and move tasks away from it if it has become slow.
+    Update the progress of a worker's tasks, and move tasks away from the worker if it is slow.
 
     :param node: the instance, which owns the log.
     :param at: the time.
@@ -75,7 +78,7 @@
 
 def _update_rate(node: Node, worker: Worker, task: Task, row: RunRow) -> None:
     progress = worker.progress.get(task.key)
-    # The worker's clock tells when it made the list, however late the list was read.
+    # The worker's clock gives the time at which the list was made, however late it was read.
     now_s = worker.clock_ms / 1000
     if progress is None or progress.run != row.run:
         worker.progress[task.key] = RunProgress(row.run, row.percent, now_s)
@@ -141,7 +144,7 @@
     remaining = 100 - progress.percent
     remaining_here_s = remaining / max(MIN_PERCENT_PER_S, progress.rate or 0.0)
     if not best_rate:
-        # Nothing is known of its speed elsewhere but that it has none here.
+        # Its rate elsewhere is unknown, as no task of the step has made progress.
         remaining_elsewhere_s = state.step.estimate_ms / 1000
     else:
         remaining_elsewhere_s = (remaining if state.step.saves else 100) / best_rate
@@ -150,7 +153,7 @@
 
 def prune(node: Node) -> None:
     """
-    Drop what is known of steps of jobs that have ended.
+    Drop the rates of steps whose jobs are no longer open.
 
     :param node: the instance.
     """
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ready.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ready.py
@@ -84,10 +84,9 @@
 
 def critical_paths_s(steps: tuple[Step, ...]) -> tuple[float, ...]:
     """
-    Return the critical path of declared durations for each step.
+    Return the remaining critical path by declared durations, for each step.
 
-    The value at a step counts neither the steps that are numbered before it nor their durations;
-    dependencies on them cost no time.
+    The value of a step counts the steps with lower numbers as done.
 
     :param steps: the steps of a job.
     :returns: seconds for each step; the first value is the critical path of the whole job.
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_reduce.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_reduce.py
@@ -16,6 +16,7 @@
     _operator,
     _orders,
     _ownership,
+    _pacing,
     _planner,
     _pools,
     _progress,
@@ -23,7 +24,6 @@
     _shutdown,
     _snapshot,
     _tail,
-    _throttling,
     _waves,
     _workers,
     effects,
@@ -122,7 +122,7 @@
 def _hold_answered(node: Node, at: Moment, event: events.HoldAnswered) -> None:
     worker = _workers.on_hold(node, at, event)
     if worker is not None:
-        _throttling.on_rows(node, at, worker)
+        _pacing.on_rows(node, at, worker)
         _progress.on_rows(node, at, worker)
 
 
@@ -150,7 +150,7 @@
     events.HoldFailed: _workers.on_hold_failed,
     events.StartAnswered: _orders.on_answered,
     events.StopAnswered: _workers.on_stopped,
-    events.PaceAnswered: _throttling.on_throttle_answered,
+    events.PaceAnswered: _pacing.on_throttle_answered,
     events.AdviceAnswered: _advice.on_answered,
     events.InstancesListed: _instances.on_listed,
     events.InstanceOrderAnswered: _instances.on_ordered,
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_runs.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_runs.py
@@ -36,7 +36,8 @@
 
 def end_run(node: Node, at: Moment, worker: Worker, task: Task, how: str, saved: str = "") -> None:
     """
-    Record the exit of a run, and close its job if that was its last run or failed too often.
+    Record the exit of a run, and close its job if that completes it or the task has used up its
+    attempts.
 
     :param node: the instance.
     :param at: the time.
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_waves.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_waves.py
@@ -12,8 +12,8 @@
 
 # Load of a pool at which its instances are not drained while the wave has time.
 BUSY_POOL_LOAD = 0.6
-# Time to drain an instance and to have it back, beyond its maintenance; bounded by the duration of
-# short tasks.
+# Time to drain an instance and to have it back, beyond its maintenance; about the duration of short
+# tasks.
 DRAIN_S = 2.5
 # Fraction of a wave's remaining time; if the remaining work needs more, the pool load is ignored.
 URGENT_FRACTION = 0.5
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_workers.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_workers.py
@@ -1,9 +1,12 @@
 """
-Keeps the owner's view of what runs on workers and what has ended there.
+Keeps the owner's view of the runs on workers, and of the runs that have exited there.
 
-A worker takes part once it has accepted the owner's token, which shuts out every former owner and
-tells what runs there. From then on the owner's book and the worker's lists are compared at each
-answer.
+A worker takes part once it has accepted the owner's fencing token, which invalidates the orders of
+every previous owner, and has listed its runs. From then on the worker's lists are reconciled with
+the owner's state at each answer.
+
+A hold is a long-poll call to a worker: it can renew the worker's lease, and returns the lists of
+runs and exits as soon as a run exits or the wait time is over.
 """
 
 from collections import Counter
@@ -14,36 +17,36 @@
 from ._runs import LOST, end_run, epoch_of, fencing_token, raise_token, runs_on, send_stop
 from .model import NO_ROOM, EndRow, Room, RunRow, TaskKey
 
-# How long a worker waits for an end before it answers; a third of the shortest usual lease.
+# Long-poll time of a hold; a third of the shortest usual lease.
 HOLD_WAIT_S = 1.5
-# The same where the progress of tasks is watched, or backfill is paced by what the answers say.
+# Long-poll time if progress is tracked or backfill is throttled by the lists.
 WATCHED_HOLD_WAIT_S = 0.25
-# A worker that runs nothing is looked at this often while its lists are not needed.
+# Interval between holds of a worker that runs nothing.
 IDLE_HOLD_INTERVAL_S = 20.0
-# While the log takes no ends, the lease is renewed this often.
+# Interval at which the lease is renewed while exits can't be committed to the log.
 STALLED_HOLD_INTERVAL_S = 0.8
-# A worker answers within this, beyond the time that it is asked to wait; some hundred round trips.
-# One that has not answered yet gets no new task.
+# Time for an answer, in addition to the long-poll time; some hundred round trips. A worker whose
+# answer is overdue gets no new task.
 ANSWER_TIMEOUT_S = 0.2
-# A zone is silent when more than this part of its workers that were asked are overdue, and at least
-# so many of them.
+# A zone is silent if more than this fraction of its workers that were called are overdue, and at
+# least the minimum number of them.
 SILENT_FRACTION = 0.5
 MIN_OVERDUE_WORKERS = 2
-# A worker's reason for refusing an older token.
+# A worker's reason for refusing an older fencing token.
 FENCE = "fence"
-# A worker that did not answer is asked again after this, beside the calls that it has not answered
-# yet: the sooner its next life takes the newest token, the fewer held-up orders can reach it.
+# Retry interval of holds to an unreachable worker, and maximum of its unanswered holds. The sooner
+# the worker's next incarnation accepts the newest token, the fewer delayed orders can reach it.
 RETRY_S = 0.25
 MAX_FAILING_HOLDS = 4
 
 
 def free_resources(node: Node, worker: Worker) -> Room:
     """
-    Give what a worker has left.
+    Return the free resources of a worker.
 
     :param node: the instance.
     :param worker: the worker.
-    :returns: its capacity less all that may run there.
+    :returns: its capacity without the resources of all runs that may be there.
     """
     free = worker.entry.capacity.minus(node.book.load.get(worker.id, NO_ROOM))
     for resources in worker.strays.values():
@@ -70,7 +73,8 @@
 def _hold(node: Node, at: Moment, worker: Worker, has_runs: bool) -> None:
     lease_ms = None
     wait_s = 0.0
-    # A call to a worker that does not answer extends no lease: nobody could tell when it is over.
+    # A hold to an unreachable worker extends no lease, since nobody could tell when that lease
+    # ends.
     if worker.is_held and has_runs and not worker.is_failing:
         end_s = _ownership.lease_end_s(node, node.bounds)
         lease_ms = _leases.clock_ms(worker, min(end_s, at.now_s + node.bounds.max_lease_s))
@@ -91,7 +95,7 @@
 
 def request_lists(node: Node, at: Moment, worker: Worker) -> None:
     """
-    Ask a worker for its lists at once, beside a call that waits for an end.
+    Request the lists of a worker at once, in parallel with a hold that waits for an exit.
 
     :param node: the instance, which owns the log.
     :param at: the time.
@@ -105,7 +109,7 @@
         worker.lists_due_s = at.now_s + wait_s + ANSWER_TIMEOUT_S
     worker.holds += 1
     address, token = worker.entry.address, fencing_token(node, worker)
-    # Told once only: a worker that has restarted unnoticed numbers its ends anew.
+    # Acknowledged only once: a worker that has restarted undetected numbers its exits anew.
     acked = worker.acked if worker.acked > worker.told else 0
     emit(node, effects.Hold(worker.id, address, token, acked, lease_ms, wait_s))
 
@@ -118,10 +122,10 @@
 
 def is_overdue(worker: Worker, now_s: float) -> bool:
     """
-    Tell whether a worker should have answered by now, which is the first sign of a loss.
+    Return whether an answer of a worker is overdue, which is the first sign of its loss.
 
     :param worker: the worker.
-    :param now_s: the clock.
+    :param now_s: the current time.
     :returns: whether an answer is overdue.
     """
     return worker.is_failing or now_s > min(worker.lists_due_s, worker.answer_due_s)
@@ -129,8 +133,8 @@
 
 def detect_silent_zones(node: Node, at: Moment) -> None:
     """
-    Find the availability zones that seem to be cut off: most workers there that should have
-    answered did not. Others there that were not asked are not used either.
+    Detect availability zones that seem to be cut off, because most of the workers there that should
+    have answered did not. Workers of such a zone that were not called are not used either.
 
     :param node: the instance, which owns the log.
     :param at: the time.
@@ -160,18 +164,18 @@
 
 def on_hold(node: Node, at: Moment, event: events.HoldAnswered) -> Worker | None:
     """
-    Compare what a worker lists with the book.
+    Reconcile the lists of a worker with the state of the log.
 
     :param node: the instance.
     :param at: the time.
-    :param event: its answer.
-    :returns: the worker, or ``None`` when its lists don't count.
+    :param event: the worker's answer.
+    :returns: the worker, or ``None`` if its lists are ignored.
     """
     worker = node.workers.get(event.worker)
     if worker is None or not node.ownership.is_owner:
         return None
     if epoch_of(event.token) != node.ownership.epoch:
-        # Sent when this instance owned the log before; its calls are not counted any more.
+        # Sent during an earlier ownership of this instance, whose calls are no longer counted.
         return None
     _count_answer(worker, at)
     if event.incarnation and event.incarnation != worker.entry.incarnation:
@@ -179,7 +183,7 @@
             _registry.restarted(node, at, worker, event.incarnation)
         return None
     if event.token != fencing_token(node, worker):
-        # Orders to the worker's former life could still be carried out.
+        # Orders to the worker's previous incarnation could still be carried out.
         return None
     if worker.is_failing:
         worker.is_failing = False
@@ -204,7 +208,7 @@
 
 def _schedule_hold(node: Node, at: Moment, worker: Worker, event: events.HoldAnswered) -> None:
     if worker.handled != worker.acked:
-        # The log has to note the ends first; the commit brings the next hold forward.
+        # The exits have to be committed first; the commit brings the next hold forward.
         worker.next_hold_s = at.now_s + STALLED_HOLD_INTERVAL_S
     elif runs_on(node, worker.id):
         worker.next_hold_s = at.now_s
@@ -214,7 +218,7 @@
 
 def hold_acknowledged(node: Node, at: Moment, workers: list[str]) -> None:
     """
-    Hold the workers at once whose ends have been noted in the log.
+    Schedule an immediate hold of the workers whose exits have been committed to the log.
 
     :param node: the instance.
     :param at: the time.
@@ -262,7 +266,7 @@
         how=end.how,
     )
     if task.status == _book.WAITING and task.run == end.run and end.how == _book.DONE:
-        # The run that was given up has ended well after all.
+        # The run that was considered lost has completed after all.
         end_run(node, at, worker, task, end.how, end.saved)
 
 
@@ -319,7 +323,7 @@
 ) -> None:
     order = worker.orders.get(task.key)
     if order is None:
-        # Not ordered by this owner; the worker's token shuts out orders of a former one.
+        # Not ordered by this owner; the fencing token rejects orders of a previous owner.
         end_run(node, at, worker, task, LOST)
         return
     if order.answered_s:
@@ -329,13 +333,14 @@
     if order.barred_s and event.sent_s >= order.barred_s:
         end_run(node, at, worker, task, LOST)
     elif order.unanswered_s and event.sent_s >= order.unanswered_s:
-        # A stop bars the run, which may still be on its way, before the task is started elsewhere.
+        # The order may still be in transit, so a stop bars the run before the task is started
+        # elsewhere.
         send_stop(node, at, worker, task.key, task.run)
 
 
 def on_stopped(node: Node, at: Moment, event: events.StopAnswered) -> None:
     """
-    Take the outcome of a stop.
+    Process the outcome of a stop.
 
     :param node: the instance.
     :param at: the time.
@@ -349,18 +354,19 @@
     if task is None or order is None or task.run != event.run:
         return
     if order.unanswered_s and not order.answered_s and not order.barred_s:
-        # The run can't begin any more, but it may have begun before the stop; the next list tells.
+        # The run can't start any more, but it may have started before the stop; the next list shows
+        # that.
         order.barred_s = at.now_s
         request_lists(node, at, worker)
 
 
 def on_hold_failed(node: Node, at: Moment, event: events.HoldFailed) -> None:
     """
-    Take note that a worker did not answer.
+    Handle a hold that the worker refused or did not answer.
 
     :param node: the instance.
     :param at: the time.
-    :param event: why.
+    :param event: the failure.
     """
     worker = node.workers.get(event.worker)
     if worker is None or not node.ownership.is_owner:
@@ -369,17 +375,17 @@
         return
     _count_answer(worker, at)
     if event.token != fencing_token(node, worker):
-        # What the worker said to a former token, or did not say, is out of date.
+        # The failure of a call with an earlier token is out of date.
         return
     if event.reason == FENCE:
-        # The worker has taken the token of a newer owner.
+        # The worker has accepted the token of a newer owner.
         _ownership.step_down(node, at, "worker_has_newer_token", worker=worker.id)
         return
     if not worker.is_failing:
         worker.is_failing = True
         worker.failing_since_s = at.now_s
         worker.next_hold_s = at.now_s
-        # Orders that are still on their way to it must not reach its next life.
+        # Orders in transit must not be accepted by the worker's next incarnation.
         raise_token(worker)
         log_line(
             node,
@@ -389,5 +395,5 @@
             runs=len(runs_on(node, worker.id)),
         )
     if event.reason == "other_worker":
-        # Its address belongs to another worker now, so it is gone.
+        # Its address belongs to another worker now, so this worker is gone.
         _registry.end_life(node, at, worker, "address_reused")
--- a/packages/eelgrassdrum-core/tests/test_jobs_instances.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_instances.py
@@ -1,5 +1,5 @@
 """
-Orders for instances: what holds them up, and what must not.
+Orders for instances: recent orders of a previous owner delay them, other orders do not.
 """
 
 from eelgrassdrum_core.jobs import Identity, events, model, new_node
@@ -27,7 +27,7 @@
 
 def make_restarted_owner(records):
     """
-    Give an instance that has just started, has read a log at one moment, and owns it.
+    Return an instance that has just started, has read a whole log at one moment, and owns it.
     """
     node = new_node(Identity("entry", WALL_MS, "zone"), BOUNDS)
     feed(node, START_S, events.OperatorRead(1, make_owner_config(), (), START_S))
@@ -45,7 +45,7 @@
 
 def make_former_log(at_ms):
     """
-    Give the log of a former owner that ordered one instance early and another one late.
+    Return the log of a previous owner that ordered one instance early and another one late.
     """
     return [
         Claimed(1, "former", 1),
@@ -61,7 +61,7 @@
 
 def may_order(node, instance, after_s=0.1):
     """
-    Tell whether the new owner may order an instance, some time after its claim.
+    Return whether the new owner may order an instance, some time after its claim.
     """
     at = instances.Moment(START_S + 2 + after_s, WALL_MS)
     return instances._former_order_expired(node, at, instance)
@@ -69,7 +69,7 @@
 
 def test_restarted_owner_waits_only_for_recent_orders():
     """
-    After all instances have restarted, instances without a recent order are ordered at once.
+    An owner that has just started orders instances without a recent order at once.
     """
     node = make_restarted_owner(make_former_log(WALL_MS))
     assert may_order(node, "early")
@@ -79,7 +79,7 @@
 
 def test_wall_clock_jump_does_not_age_orders():
     """
-    A clock of day that jumped by a day frees no instance that was ordered a moment ago.
+    A wall clock that jumped by a day does not release an instance that was ordered recently.
     """
     node = make_restarted_owner(make_former_log(WALL_MS - DAY_MS))
     assert not may_order(node, "late")
@@ -87,7 +87,8 @@
 
 def test_heartbeats_of_two_owners_are_not_compared():
     """
-    The clocks of two owners have nothing to do with one another, so time passes only within one.
+    The clocks of two owners are unrelated, so the log's time advances only between heartbeats of
+    one owner.
     """
     records = [*make_former_log(WALL_MS), Claimed(2, "other", 1), Beat(2, 900_000)]
     node = new_node(Identity("entry", WALL_MS, "zone"), BOUNDS)
@@ -99,7 +100,7 @@
 
 def test_wave_continues_when_a_draining_instance_leaves():
     """
-    An instance that is no longer listed holds up no other instance of its wave.
+    A draining instance that is no longer listed does not block other instances of its wave.
     """
     wave = model.Wave(1, ("m-a", "m-b"), 30.0, 1)
     node = owner_of([worker_entry("a"), worker_entry("b")])
--- a/packages/eelgrassdrum-core/tests/test_jobs_orders.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_orders.py
@@ -1,5 +1,5 @@
 """
-What becomes of orders to start tasks.
+Outcomes of orders to start tasks.
 """
 
 from eelgrassdrum_core.jobs import effects, events, model
@@ -21,7 +21,7 @@
 
 def make_unanswered():
     """
-    Give an owner whose only order has had no answer, its order, and the effects of that.
+    Return an owner whose only order timed out, the order, and the effects of the timeout.
     """
     node = owner_of([worker_entry("w")])
     hand_in(node, [("job", "usual", (one_step(),), 0.0)])
@@ -35,21 +35,22 @@
 
 def lists(sent_s, runs=(), ends=()):
     """
-    Give the lists of the worker, asked for at a time.
+    Return the lists of the worker, requested at a time.
     """
     return events.HoldAnswered("w", OWNER_TOKEN, sent_s, 8000, 7, runs, ends)
 
 
 def of_type(produced, kind):
     """
-    Give the effects of a type.
+    Return the effects of a type.
     """
     return [item for item in produced if isinstance(item, kind)]
 
 
 def test_unanswered_order_is_not_sent_again(unanswered):
     """
-    A second copy of an order could be carried out after the first has ended; lists are asked for.
+    An unanswered order leads to a request of the lists, since a second copy of the order could be
+    carried out after the first run has exited.
     """
     _node, _order, produced = unanswered
     assert of_type(produced, effects.StartTask) == []
@@ -59,7 +60,7 @@
 
 def test_executed_order_is_found_in_the_lists(unanswered):
     """
-    A run that the worker lists goes on although the order's answer was lost.
+    A run that the worker lists continues although the answer to its order was lost.
     """
     node, order, _produced = unanswered
     row = model.RunRow(order.key, order.run, "", 10, 0.0)
@@ -70,7 +71,7 @@
 
 def test_run_is_barred_before_its_task_is_retried(unanswered):
     """
-    A task whose order is not in the lists starts anew only when the worker has barred the run.
+    A task whose order is not in the lists is retried only after the worker has barred the run.
     """
     node, order, _produced = unanswered
     produced = feed(node, GIVEN_UP_S + 0.01, lists(GIVEN_UP_S))
@@ -89,7 +90,7 @@
 
 def test_run_started_before_the_stop_exits_before_a_retry(unanswered):
     """
-    A held-up order that was carried out before the stop is no reason to start another run yet.
+    If a delayed order was carried out before the stop, its run has to exit before a retry.
     """
     node, order, _produced = unanswered
     feed(node, GIVEN_UP_S + 0.01, lists(GIVEN_UP_S))
@@ -105,7 +106,8 @@
 
 def test_exits_are_acknowledged_once():
     """
-    A worker that restarts unnoticed has its own numbers, so former ones are not sent again.
+    Exits are not acknowledged again once the worker knows, since a worker that restarts undetected
+    numbers its exits anew.
     """
     node = owner_of([worker_entry("w")])
     hand_in(node, [("job", "usual", (one_step(2),), 0.0)])
--- a/packages/eelgrassdrum-core/tests/test_jobs_throttling.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_pacing.py
@@ -1,13 +1,13 @@
 """
-The pace of backfill beside work that serves.
+Throttling of backfill next to serving tasks.
 """
 
-from eelgrassdrum_core.jobs._throttling import FULL_PERCENT, BackfillThrottle, next_percent
+from eelgrassdrum_core.jobs._pacing import FULL_PERCENT, BackfillThrottle, next_percent
 
 
 def simulate(throttle, worst_ratio, from_s, seconds):
     """
-    Adjust a pace ten times a second while the worst part stays the same.
+    Adjust the throttling ten times a second at a constant worst ratio.
     """
     for tenth in range(round(seconds * 10)):
         now_s = from_s + tenth / 10
@@ -19,7 +19,7 @@
 
 def test_backfill_runs_at_full_speed_below_the_thresholds():
     """
-    Without a serving task near its target, nothing is slowed.
+    Backfill is not throttled while no serving task is near its target.
     """
     throttle = BackfillThrottle()
     simulate(throttle, 0.3, 0.0, 5.0)
@@ -28,7 +28,7 @@
 
 def test_backfill_stops_when_a_target_is_exceeded():
     """
-    Serving task over its target: backfill stands within two seconds.
+    Backfill stops within two seconds when a serving task exceeds its target.
     """
     throttle = BackfillThrottle()
     simulate(throttle, 1.3, 0.0, 2.0)
@@ -37,7 +37,7 @@
 
 def test_backfill_is_slowed_near_a_target():
     """
-    Serving task near its target: backfill is halved, not stopped at once.
+    Backfill is slowed but not stopped at once when a serving task is near its target.
     """
     throttle = BackfillThrottle()
     simulate(throttle, 0.9, 0.0, 0.1)
@@ -46,7 +46,7 @@
 
 def test_backfill_speed_recovers_in_steps():
     """
-    After harm has passed, backfill is let go again in steps.
+    Backfill speed is raised in steps after the serving tasks have recovered.
     """
     throttle = BackfillThrottle()
     at_s = simulate(throttle, 1.3, 0.0, 2.0)
--- a/packages/eelgrassdrum-core/tests/test_jobs_planner.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_planner.py
@@ -1,5 +1,5 @@
 """
-Which tasks start, and where.
+Order and placement of tasks that start.
 """
 
 from eelgrassdrum_core.jobs import events, model
@@ -18,7 +18,7 @@
 
 def test_priority_precedes_deadline():
     """
-    An urgent queue's job takes the only room although another job waits longer.
+    A job of an urgent queue takes the last free resources although another job has waited longer.
     """
     node = owner_of([worker_entry("w", 1000)])
     jobs = [("old", "usual", (one_step(),), 1.0), ("new", "urgent", (one_step(),), 0.0)]
@@ -27,7 +27,7 @@
 
 def test_late_job_is_not_starved():
     """
-    Burst beyond room: a job past its objective goes before one that could still meet its own.
+    In an overload, a job past its deadline goes before one that could still meet its own.
     """
     node = owner_of([worker_entry("w", 1000)])
     jobs = [("new", "usual", (one_step(),), 0.0), ("late", "usual", (one_step(),), 9.0)]
@@ -36,7 +36,7 @@
 
 def test_long_running_tasks_go_first():
     """
-    Tasks that last take room before any other.
+    Long-running tasks are placed before all others.
     """
     node = owner_of([worker_entry("w", 1000)])
     long_running = one_step(lasts=True)
@@ -46,7 +46,7 @@
 
 def test_gang_starts_all_members_or_none():
     """
-    A gang that doesn't fit as a whole starts none of its members.
+    A gang that does not fit completely starts none of its members.
     """
     node = owner_of([worker_entry("w1", 2000), worker_entry("w2", 1000)])
     jobs = [("wide", "usual", (one_step(4, gang=True),), 0.0)]
@@ -57,7 +57,7 @@
 
 def test_gang_prefers_one_rack():
     """
-    A gang of one rack starts on one rack where one has room for all of it.
+    A gang with the same-rack option starts on one rack if that has enough capacity.
     """
     workers = [
         worker_entry("a1", 2000, "r1"),
@@ -71,7 +71,8 @@
 
 def test_labels_and_spread_are_respected():
     """
-    A task starts only on workers with its label, and no more of a step on one than allowed.
+    A task starts only on workers with its label, and at most the allowed number of tasks of a step
+    on one worker.
     """
     node = owner_of([worker_entry("plain"), worker_entry("fast", labels=("x",))])
     jobs = [("job", "usual", (one_step(3, label="x", max_per_worker=2),), 0.0)]
@@ -80,7 +81,7 @@
 
 def test_workspace_limit_holds_in_a_burst():
     """
-    Burst of one workspace: it has no more running than its limit, whatever is free.
+    A workspace runs no more than its limit in a burst, also if the workers have free resources.
     """
     config = make_owner_config(limit=model.Room(2500, 0, 0))
     node = owner_of([worker_entry("w", 8000)], config)
@@ -89,7 +90,7 @@
 
 def test_suspect_worker_is_used_last():
     """
-    Failing worker: after jobs in a row have failed there, others are preferred.
+    Other workers are preferred to one on which several jobs in a row have failed.
     """
     node = owner_of([worker_entry("bad", 4000), worker_entry("good", 8000)])
     node.workers["bad"].failed_jobs.extend(["j1", "j2", "j3"])
@@ -99,7 +100,7 @@
 
 def test_draining_worker_takes_no_task():
     """
-    A draining worker takes no task.
+    No task starts on a draining worker.
     """
     node = owner_of([worker_entry("w")._replace(is_draining=True)])
     assert hand_in(node, [("job", "usual", (one_step(),), 0.0)]) == []
@@ -107,7 +108,7 @@
 
 def test_queue_with_advice_requires_a_ticket():
     """
-    The advice service is asked first, its refusals hold, and the order carries the ticket.
+    Tickets are requested first, refused workers are not used, and the order carries the ticket.
     """
     node = owner_of([worker_entry("w1"), worker_entry("w2")], make_owner_config(has_advice=True))
     assert hand_in(node, [("job", "usual", (one_step(),), 0.0)]) == []
@@ -121,7 +122,7 @@
 
 def test_tickets_of_the_next_step_are_prefetched():
     """
-    A step that waits for another is asked about before it can start.
+    Tickets are requested for a step that still waits for another one.
     """
     node = owner_of([worker_entry("w1")], make_owner_config(has_advice=True))
     hand_in(node, [("job", "usual", (one_step(), one_step(after=(0,))), 0.0)])
@@ -130,7 +131,7 @@
 
 def test_expired_ticket_is_requested_again():
     """
-    A ticket that has run out starts nothing, and another one is asked for.
+    An expired ticket starts no task, and a new one is requested.
     """
     node = owner_of([worker_entry("w1", 1000)], make_owner_config(has_advice=True))
     hand_in(node, [("job", "usual", (one_step(2),), 0.0)])
--- a/packages/eelgrassdrum-core/tests/test_jobs_progress.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_progress.py
@@ -1,5 +1,5 @@
 """
-Tasks that get on slowly are moved, and no others.
+Slow tasks are moved to other workers, and no others.
 """
 
 from eelgrassdrum_core.jobs import effects, events, model
@@ -19,7 +19,7 @@
 
 def make_running():
     """
-    Give an owner of two workers, of which the first runs two tasks, and their orders.
+    Return an owner of two workers, of which the first runs two tasks, and their orders.
     """
     node = owner_of([worker_entry("a", 2000), worker_entry("b", 8000)])
     hand_in(node, [("job", "usual", (one_step(2),), 0.0)])
@@ -36,7 +36,7 @@
 
 def list_progress(node, orders, after_s, *percents, late_s=0.0):
     """
-    Let the worker list the progress of its tasks, and give the stops that follow.
+    Feed the progress of the worker's tasks to the owner, and return the stops that follow.
     """
     rows = tuple(
         model.RunRow(order.key, order.run, "", percent, 0.0)
@@ -51,7 +51,7 @@
 
 def test_stalled_tasks_are_moved(running):
     """
-    Tasks that got on well and then stand still are stopped, since another worker has room.
+    Tasks that stall after good progress are stopped if another worker has the capacity.
     """
     node, orders = running
     assert list_progress(node, orders, 0.1, 10, 10) == []
@@ -63,7 +63,7 @@
 
 def test_one_slow_task_does_not_make_a_worker_slow(running):
     """
-    A worker is slow only when most of its tasks are: sizes of tasks differ.
+    A worker is slow only if most of its tasks are, since the sizes of tasks differ.
     """
     node, orders = running
     list_progress(node, orders, 0.1, 10, 10)
@@ -73,7 +73,7 @@
 
 def test_nearly_finished_task_stays(running):
     """
-    A slow task that still ends sooner than a fresh start would is left alone.
+    A slow task stays if it finishes sooner than after a fresh start.
     """
     node, orders = running
     list_progress(node, orders, 0.1, 20, 20)
@@ -83,7 +83,7 @@
 
 def test_lists_read_late_do_not_count_as_slow(running):
     """
-    Progress is measured by the worker's clock: an owner that was paused sees no slow worker.
+    Progress is measured by the worker's clock, so an owner that was paused detects no slow worker.
     """
     node, orders = running
     list_progress(node, orders, 0.1, 10, 10)
@@ -93,7 +93,7 @@
 
 def test_tasks_stay_when_no_other_worker_has_capacity(running):
     """
-    Without room elsewhere a slow task goes on where it is.
+    A slow task stays on its worker if no other worker has the capacity.
     """
     node, orders = running
     list_progress(node, orders, 0.1, 10, 10)
