--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_advice.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_advice.py
@@ -15,7 +15,7 @@
 # Workers named in one call: enough to find a few that may run the step.
 WORKERS_PER_CALL = 6
 # Outstanding calls, well below the number that the service queues.
-MAX_CALLS = 8
+MAX_OUTSTANDING_CALLS = 8
 # Delay before a failed call is retried.
 RETRY_S = 0.3
 # A ticket counts as expired this long before its expiry time.
@@ -76,7 +76,7 @@
     advice = node.advice.setdefault((job.id, occurrence, step), StepAdvice())
     if advice.is_asking or at.now_s < advice.retry_s:
         return
-    if sum(other.is_asking for other in node.advice.values()) >= MAX_CALLS:
+    if sum(other.is_asking for other in node.advice.values()) >= MAX_OUTSTANDING_CALLS:
         return
     candidates = [worker for worker in workers if worker not in advice.refused]
     if not candidates:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_instances.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_instances.py
@@ -22,7 +22,7 @@
 ORDER_RETRY_S = 1.0
 UNSENT_RETRY_S = 0.2
 # Outstanding orders; each takes a connection.
-MAX_ORDERS = 20
+MAX_OUTSTANDING_ORDERS = 20
 # Fraction of the order rate that the machine service accepts; other clients may send orders as
 # well.
 ORDER_RATE_FRACTION = 0.8
@@ -148,7 +148,7 @@
     Return whether the limits of outstanding orders and of the order rate allow one more order.
     """
     fleet = node.fleet
-    return len(fleet.in_flight) < MAX_ORDERS and at.now_s >= fleet.next_order_s
+    return len(fleet.in_flight) < MAX_OUTSTANDING_ORDERS and at.now_s >= fleet.next_order_s
 
 
 def _workers_on(node: Node, instance: str) -> list[Worker]:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_planner.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_planner.py
@@ -32,7 +32,6 @@
 
     def __init__(self, candidates: list[Candidate]) -> None:
         """
-
         :param candidates: the workers that accept tasks.
         """
         self.candidates = candidates
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_workers.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_workers.py
@@ -67,10 +67,10 @@
             continue
         runs = runs_on(node, worker.id)
         if worker.is_listed or runs:
-            _hold(node, at, worker, bool(runs))
+            _send_lease_hold(node, at, worker, bool(runs))
 
 
-def _hold(node: Node, at: Moment, worker: Worker, has_runs: bool) -> None:
+def _send_lease_hold(node: Node, at: Moment, worker: Worker, has_runs: bool) -> None:
     lease_ms = None
     wait_s = 0.0
     # A hold to an unreachable worker extends no lease, since nobody could tell when that lease
