--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_advice.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_advice.py
@@ -14,7 +14,7 @@
 
 # Workers named in one call: enough to find a few that may run the step.
 WORKERS_PER_CALL = 6
-# Outstanding calls, well below the number that the service queues.
+# Well below the number of calls that the service queues.
 MAX_OUTSTANDING_CALLS = 8
 # Delay before a failed call is retried.
 RETRY_S = 0.3
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_candidates.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_candidates.py
@@ -11,7 +11,7 @@
 from ._runs import runs_on
 from .model import Room, Step
 
-# A worker on which this many jobs in a row failed gets only one task at a time.
+# Number of jobs in a row that failed on a worker after which it gets only one task at a time.
 SUSPECT_FAILURES = 2
 # Slow or overdue workers are left out while at least this fraction of the pool is healthy.
 MIN_HEALTHY_FRACTION = 0.5
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_instances.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_instances.py
@@ -21,12 +21,12 @@
 # Retry delay of an order that was refused or not answered, and of one that was not sent.
 ORDER_RETRY_S = 1.0
 UNSENT_RETRY_S = 0.2
-# Outstanding orders; each takes a connection.
+# Each outstanding order takes a connection.
 MAX_OUTSTANDING_ORDERS = 20
 # Fraction of the order rate that the machine service accepts; other clients may send orders as
 # well.
 ORDER_RATE_FRACTION = 0.8
-# Unused order rate of at most this time may be caught up on.
+# Orders that the rate allowed but that were not sent may be caught up on for this time.
 ORDER_BURST_S = 0.2
 # Age of the store's last confirmation of this owner up to which an order may be sent.
 MAX_CONFIRMATION_AGE_S = 0.8
@@ -96,6 +96,10 @@
 
 
 def _end_stopped_workers(node: Node, at: Moment) -> None:
+    """
+    End unreachable workers, or record their runs as lost, if a list shows that their instances are
+    gone, not up or in use by another worker.
+    """
     for worker in node.workers.values():
         if not worker.is_failing or worker.is_over:
             continue
@@ -204,6 +208,9 @@
 
 
 def _order_instance(node: Node, at: Moment, instance: str, reason: str) -> None:
+    """
+    Record an order for an instance, and send it once the record is committed.
+    """
     wave, pool = -1, ""
     if reason == MAINTENANCE:
         wave = node.fleet.wave_of[instance]
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_pools.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_pools.py
@@ -130,6 +130,9 @@
 
 
 def _waiting_millicores(job: _book.Job) -> float:
+    """
+    Return the processor demand of the waiting tasks of a job.
+    """
     millicores = 0.0
     for number in job.occurrences or (0,):
         for index, state in enumerate(occurrence_of(job, number)):
@@ -157,11 +160,17 @@
 
 
 def _is_usable(worker: Worker, at: Moment) -> bool:
+    """
+    Return whether a worker counts towards the size of its pool.
+    """
     is_slow = at.now_s < worker.slow_until_s
     return not (worker.entry.is_draining or worker.is_failing or is_slow)
 
 
 def _wanted_size(node: Node, demand: PoolDemand) -> int:
+    """
+    Return the number of instances that a pool should have, including its reserve.
+    """
     sizes = [row.capacity.millicores for row in node.fleet.rows.values()]
     size = sum(sizes) / len(sizes)
     services = node.config.services if node.config else {}
@@ -171,6 +180,10 @@
 
 
 def _add_instance(node: Node, at: Moment, pool: str, standby: str, sizes: dict[str, int]) -> bool:
+    """
+    Move one instance to a pool, from standby or from another pool, and return whether one was
+    found.
+    """
     instance = _standby_instance(node, standby) or _surplus_instance(node, pool, sizes)
     if instance is None:
         return False
@@ -187,6 +200,9 @@
 
 
 def _is_unassigned(node: Node, instance: str) -> bool:
+    """
+    Return whether an instance is neither draining, down nor ordered.
+    """
     fleet = node.fleet
     is_assigned = instance in fleet.emptying or instance in fleet.down
     return not is_assigned and instance not in fleet.in_flight
@@ -228,6 +244,9 @@
     standby: str,
     sizes: dict[str, int],
 ) -> None:
+    """
+    Move empty instances of pools that have been too large for some time to standby.
+    """
     for name in sizes:
         state = node.pools[name]
         if sizes[name] <= state.wanted:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_progress.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_progress.py
@@ -67,6 +67,9 @@
 
 
 def _watched_task(node: Node, worker: Worker, row: RunRow) -> Task | None:
+    """
+    Return the task of a listed run if its progress is tracked, or ``None``.
+    """
     task = find_task(node.book, row.key)
     if task is None or task.status != _book.RUNNING or task.run != row.run:
         return None
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ready.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_ready.py
@@ -104,6 +104,10 @@
 
 
 def _sort_key(job: Job, queue: Queue, number: int, index: int, at: Moment) -> tuple[float, ...]:
+    """
+    Return the position of a step in the start order. Except for long-running tasks, its last
+    element is the latest time at which the step has to start to meet the objective.
+    """
     step = job.spec.steps[index]
     if step.lasts:
         return (0.0, float(step.is_backfill), job.seen_s)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_waves.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_waves.py
@@ -15,7 +15,8 @@
 # Time to drain an instance and to have it back, beyond its maintenance; about the duration of short
 # tasks.
 DRAIN_S = 2.5
-# Fraction of a wave's remaining time; if the remaining work needs more, the pool load is ignored.
+# A wave ignores the pool load if its remaining work needs more than this fraction of its remaining
+# time.
 URGENT_FRACTION = 0.5
 
 
@@ -105,6 +106,9 @@
 
 
 def _load_key(node: Node, row: InstanceRow) -> tuple[float, int]:
+    """
+    Return the sort key by which the least loaded instances are drained first.
+    """
     worker = node.workers.get(row.worker)
     if worker is None:
         return (0.0, 0)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_workers.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_workers.py
@@ -71,6 +71,10 @@
 
 
 def _send_lease_hold(node: Node, at: Moment, worker: Worker, has_runs: bool) -> None:
+    """
+    Send a hold that renews the lease if the worker has accepted the token, has runs and is
+    reachable.
+    """
     lease_ms = None
     wait_s = 0.0
     # A hold to an unreachable worker extends no lease, since nobody could tell when that lease
@@ -87,6 +91,9 @@
 
 
 def _is_watched(node: Node, worker: Worker) -> bool:
+    """
+    Return whether backfill on a worker is throttled or the progress of its tasks is tracked.
+    """
     if worker.pace is not None:
         return True
     jobs = node.book.jobs
@@ -231,6 +238,9 @@
 
 
 def _apply_exits(node: Node, at: Moment, worker: Worker, ends: tuple[EndRow, ...]) -> None:
+    """
+    Record the exits that are new in a worker's list.
+    """
     if all(end.number > worker.acked for end in ends):
         worker.told = worker.acked
     newest = worker.handled
@@ -271,6 +281,9 @@
 
 
 def _reconcile(node: Node, at: Moment, worker: Worker, event: events.HoldAnswered) -> None:
+    """
+    Compare the runs that a worker lists with those that the log has for it.
+    """
     for key, row in worker.rows.items():
         _reconcile_listed_run(node, at, worker, key, row)
     for key in list(worker.strays):
@@ -285,6 +298,9 @@
 def _reconcile_listed_run(
     node: Node, at: Moment, worker: Worker, key: TaskKey, row: RunRow
 ) -> None:
+    """
+    Confirm a listed run, or stop it if it is unknown or its job has ended.
+    """
     task = find_task(node.book, key)
     is_expected = (
         task is not None
@@ -321,6 +337,9 @@
 def _reconcile_missing_run(
     node: Node, at: Moment, worker: Worker, task: Task, event: events.HoldAnswered
 ) -> None:
+    """
+    Record a run that the worker does not list as lost, or bar it while its order is unanswered.
+    """
     order = worker.orders.get(task.key)
     if order is None:
         # Not ordered by this owner; the fencing token rejects orders of a previous owner.
