--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_orders.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_orders.py
@@ -1,38 +1,38 @@
 """
-Orders to start tasks: sent once their record stands in the log, and followed until it is known
-what became of them.
+Orders workers to start tasks, and tracks each order until its outcome is known.
 
-An order is sent once. Without an answer it may be carried out at any later time, and a second copy
-could be carried out by the worker's next life after the first has ended. So the worker's lists tell
-whether it was carried out, and if not, a stop bars the run before the task starts anew.
+An order is sent once its record is committed to the log, and never sent again. An unanswered order
+may be carried out at any later time, and the worker's next incarnation could carry out a second
+copy after the first run has exited. The worker's lists show whether the order was carried out. If
+it was not, a stop bars the run before the task is started again.
 """
 
 from . import _journal, _leases, _replicated_state, _workers, effects, events
 from ._node import NEVER_S, Moment, Node, Order, Worker, emit, log_line
 from ._records import Started
 from ._replicated_state import Task
-from ._runs import end_run, runs_on, token_of
+from ._runs import end_run, fencing_token, runs_on
 
-# An order is void after this, so that one that is carried out late does no harm.
-ORDER_VALID_S = 2.5
-# Orders to one worker that may be without an answer: each takes a connection.
+# Lifetime of an order, after which a delayed order has no effect.
+ORDER_TTL_S = 2.5
+# Unanswered orders to one worker; each takes a connection.
 MAX_OUTSTANDING = 2
-# A worker that refused a start gets no other one for this long.
-REFUSED_PAUSE_S = 0.5
+# A worker that refused a start gets no other one for this time.
+REFUSED_BACKOFF_S = 0.5
 UNSENT = "unsent"
 REFUSED = "refused"
 
 
 def start(node: Node, at: Moment, worker: Worker, task: Task, run: int, ticket: str) -> None:
     """
-    Decide to start a task on a worker.
+    Record that a task starts on a worker, and order the start once the record is committed.
 
     :param node: the instance, which owns the log.
     :param at: the time.
     :param worker: the worker.
     :param task: the task.
     :param run: number of the run.
-    :param ticket: ticket of the advice service, or empty.
+    :param ticket: ticket of the advice service, or an empty string.
     """
     key = task.key
     record = Started(node.ownership.epoch, *key, run, worker.id, worker.entry.incarnation)
@@ -46,7 +46,7 @@
         run,
         job.spec.payload,
         0,
-        token_of(node, worker),
+        fencing_token(node, worker),
         task.checkpoint,
         ticket,
     )
@@ -59,18 +59,21 @@
         run=run,
         worker=worker.id,
         age_s=round(at.now_s - job.seen_s, 3),
-        free_millicores=_workers.free_room(node, worker).millicores,
+        free_millicores=_workers.free_resources(node, worker).millicores,
         config=node.config.version if node.config else None,
     )
 
 
 def send(node: Node, at: Moment, effect: effects.StartTask) -> None:
     """
-    Send an order whose record stands in the log, if it still holds.
+    Send an order whose record is committed, if it is still valid.
+
+    The run ends as unsent if the job is closed or the worker no longer takes tasks. The order is
+    queued while the worker has the maximum of unanswered orders.
 
     :param node: the instance.
     :param at: the time.
-    :param effect: the order as decided.
+    :param effect: the order as it was recorded.
     """
     worker = node.workers.get(effect.worker)
     task = runs_on(node, effect.worker).get(effect.key)
@@ -78,34 +81,34 @@
     if worker is None or task is None or order is None or order.run != effect.run:
         return
     job = node.replicated.jobs[effect.key.job]
-    is_open = not job.cancelled and job.state not in _replicated_state.FINAL_STATES
-    if not is_open or not worker.is_held or worker.is_failing or worker.entry.is_draining:
+    may_start = not job.cancelled and job.state not in _replicated_state.FINAL_STATES
+    if not may_start or not worker.is_held or worker.is_failing or worker.entry.is_draining:
         end_run(node, at, worker, task, UNSENT)
         return
     if worker.outstanding >= MAX_OUTSTANDING:
         worker.outbox.append(effect)
         return
     if not worker.outstanding:
-        worker.answer_due_s = at.now_s + _workers.ANSWER_S
+        worker.answer_due_s = at.now_s + _workers.ANSWER_TIMEOUT_S
     worker.outstanding += 1
     order.sent_s = at.now_s
-    order.lease_ms = _leases.clock_ms(worker, at.now_s + ORDER_VALID_S)
+    order.lease_ms = _leases.clock_ms(worker, at.now_s + ORDER_TTL_S)
     worker.granted_ms = max(worker.granted_ms, order.lease_ms)
-    # The first hold after a start is what renews the lease and waits for the end.
+    # The next hold renews the lease of the order and waits for the run's exit.
     worker.next_hold_s = min(worker.next_hold_s, at.now_s)
     emit(
         node,
         effect._replace(
             lease_ms=order.lease_ms,
             address=worker.entry.address,
-            token=token_of(node, worker),
+            token=fencing_token(node, worker),
         ),
     )
 
 
 def on_answered(node: Node, at: Moment, event: events.StartAnswered) -> None:
     """
-    Take the outcome of an order.
+    Process the outcome of an order, and send the queued orders that may go out now.
 
     :param node: the instance.
     :param at: the time.
@@ -115,14 +118,14 @@
     if worker is None:
         return
     worker.outstanding -= 1
-    is_due = worker.outstanding > 0
-    worker.answer_due_s = at.now_s + _workers.ANSWER_S if is_due else NEVER_S
-    _take_answer(node, at, worker, event)
+    is_awaiting = worker.outstanding > 0
+    worker.answer_due_s = at.now_s + _workers.ANSWER_TIMEOUT_S if is_awaiting else NEVER_S
+    _apply_answer(node, at, worker, event)
     while worker.outbox and worker.outstanding < MAX_OUTSTANDING:
         send(node, at, worker.outbox.popleft())
 
 
-def _take_answer(node: Node, at: Moment, worker: Worker, event: events.StartAnswered) -> None:
+def _apply_answer(node: Node, at: Moment, worker: Worker, event: events.StartAnswered) -> None:
     task = runs_on(node, event.worker).get(event.key)
     if task is None or task.run != event.run:
         return
@@ -146,19 +149,19 @@
     )
     if event.outcome == events.UNKNOWN:
         order.unanswered_s = at.now_s
-        _workers.look(node, at, worker)
+        _workers.request_lists(node, at, worker)
         return
-    worker.no_starts_until_s = at.now_s + REFUSED_PAUSE_S
+    worker.no_starts_until_s = at.now_s + REFUSED_BACKOFF_S
     if event.outcome == events.UNSENT:
         worker.next_hold_s = at.now_s
     end_run(node, at, worker, task, UNSENT if event.outcome == events.UNSENT else REFUSED)
 
 
-def next_run(tasks: list[Task]) -> int:
+def next_run_number(tasks: list[Task]) -> int:
     """
-    Give the number of the next run of tasks that start together.
+    Return the number of the next run of tasks that start together.
 
     :param tasks: the tasks.
-    :returns: one more than any of them has had.
+    :returns: one more than the highest run number of any of them.
     """
     return 1 + max(task.run for task in tasks)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_registry.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_registry.py
@@ -4,7 +4,7 @@
 
 from . import _ownership, effects, events
 from ._node import NEVER_S, Moment, Node, Worker, emit, log_line
-from ._runs import lose_all, raise_token, runs_on
+from ._runs import mark_all_lost, raise_token, runs_on
 from .model import WorkerEntry
 
 # Poll interval of the registry; short enough that a draining worker gets no new work well before it
@@ -120,7 +120,7 @@
     """
     worker.has_ended = True
     worker.is_listed = False
-    lose_all(node, at, worker, reason)
+    mark_all_lost(node, at, worker, reason)
 
 
 def reset_incarnation(node: Node, at: Moment, worker: Worker, incarnation: int) -> None:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_waves.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_waves.py
@@ -1,6 +1,6 @@
 """
-Works off maintenance waves: chooses the instances that are emptied and maintained next, and
-publishes how far a wave is.
+Carries out maintenance waves: chooses the instances to drain and maintain next, and publishes the
+state of each wave.
 """
 
 from . import _runs, effects, events
@@ -10,17 +10,19 @@
 from ._records import WaveClosed
 from .model import InstanceRow, Resources
 
-# Load of a pool above which its instances wait for their turn, while the wave has time.
-BUSY_POOL = 0.6
-# Time to empty an instance and to have it back, beyond its maintenance; as short tasks take.
-EMPTYING_S = 2.5
-# Part of a wave's time after which load does not hold it up any more.
-URGENT_PART = 0.5
+# Load of a pool at which its instances are not drained while the wave has time.
+BUSY_POOL_LOAD = 0.6
+# Time to drain an instance and to have it back, beyond its maintenance; about the duration of short
+# tasks.
+DRAIN_S = 2.5
+# A wave ignores the pool load if its remaining work needs more than this fraction of its remaining
+# time.
+URGENT_FRACTION = 0.5
 
 
 def advance(node: Node, at: Moment) -> None:
     """
-    Take the next steps of every wave.
+    Advance every wave.
 
     :param node: the instance, which owns the log.
     :param at: the time.
@@ -43,7 +45,7 @@
 
 def on_published(node: Node, at: Moment, event: events.WaveStatusAnswered) -> None:
     """
-    Take note that the state of a wave is published.
+    Record that the state of a wave has been published.
 
     :param node: the instance.
     :param at: the time.
@@ -57,9 +59,9 @@
     log_line(node, "wave.published", wave=event.wave, state=event.state, outcome=event.outcome)
 
 
-def _left(node: Node, state: WaveState) -> list[InstanceRow]:
+def _remaining_instances(node: Node, state: WaveState) -> list[InstanceRow]:
     """
-    Give the instances of a wave that are still there and not maintained yet.
+    Return the instances of a wave that are still listed and not maintained yet.
     """
     done = node.replicated.maintained.get(state.wave.number, set())
     rows = (node.fleet.rows.get(name) for name in state.wave.instances if name not in done)
@@ -71,8 +73,8 @@
     if not fleet.rows:
         return
     wave = state.wave
-    left = _left(node, state)
-    if not left:
+    remaining = _remaining_instances(node, state)
+    if not remaining:
         if not any(name in fleet.down for name in wave.instances):
             write(node, at, WaveClosed(node.ownership.epoch, wave.number))
             log_line(
@@ -82,28 +84,31 @@
                 took_s=round(at.now_s - state.seen_s, 2),
             )
         return
-    in_work = sum(name in fleet.draining or name in fleet.down for name in wave.instances)
-    for row in sorted(left, key=lambda row: _busyness(node, row)):
-        if in_work >= wave.max_down:
+    in_progress = sum(name in fleet.draining or name in fleet.down for name in wave.instances)
+    for row in sorted(remaining, key=lambda row: _load_key(node, row)):
+        if in_progress >= wave.max_down:
             return
         if row.instance in fleet.draining or row.state != UP:
             continue
-        if not _may_empty(node, at, state, row, len(left)):
+        if not _may_drain(node, at, state, row, len(remaining)):
             continue
         fleet.draining[row.instance] = MAINTENANCE
         fleet.wave_of[row.instance] = wave.number
-        in_work += 1
+        in_progress += 1
         log_line(
             node,
             "instance.emptying",
             instance=row.instance,
             wave=wave.number,
             pool=row.pool,
-            left=len(left),
+            left=len(remaining),
         )
 
 
-def _busyness(node: Node, row: InstanceRow) -> tuple[float, int]:
+def _load_key(node: Node, row: InstanceRow) -> tuple[float, int]:
+    """
+    Return the sort key by which the least loaded instances are drained first.
+    """
     worker = node.workers.get(row.worker)
     if worker is None:
         return (0.0, 0)
@@ -112,26 +117,26 @@
 
 def pool_load(node: Node, pool: str) -> float:
     """
-    Give the part of a pool's processors that is in use.
+    Return the fraction of a pool's processor capacity that is in use.
 
     :param node: the instance.
-    :param pool: the pool.
+    :param pool: name of the pool.
     :returns: 0 to 1; 1 for a pool without workers.
     """
-    have = need = 0
+    capacity = used = 0
     for worker in node.workers.values():
         if worker.entry.service == pool and worker.is_listed:
-            have += worker.entry.capacity.millicores
-            need += node.replicated.load.get(worker.id, Resources()).millicores
-    return need / have if have else 1.0
+            capacity += worker.entry.capacity.millicores
+            used += node.replicated.load.get(worker.id, Resources()).millicores
+    return used / capacity if capacity else 1.0
 
 
-def _may_empty(node: Node, at: Moment, state: WaveState, row: InstanceRow, left: int) -> bool:
+def _may_drain(node: Node, at: Moment, state: WaveState, row: InstanceRow, remaining: int) -> bool:
     if not row.worker or row.worker not in node.workers:
         return True
     wave = state.wave
-    each_s = node.bounds.upkeep_s + EMPTYING_S
-    need_s = each_s * left / max(1, wave.max_down)
-    left_s = state.seen_s + wave.duration_s - at.now_s
-    is_urgent = need_s > left_s * URGENT_PART
-    return is_urgent or pool_load(node, row.pool) < BUSY_POOL
+    per_instance_s = node.bounds.upkeep_s + DRAIN_S
+    needed_s = per_instance_s * remaining / max(1, wave.max_down)
+    remaining_s = state.seen_s + wave.duration_s - at.now_s
+    is_urgent = needed_s > remaining_s * URGENT_FRACTION
+    return is_urgent or pool_load(node, row.pool) < BUSY_POOL_LOAD
--- a/packages/eelgrassdrum-core/tests/test_jobs_pacing.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_pacing.py
@@ -1,58 +1,58 @@
 """
-The pace of backfill beside work that serves.
+Throttling of backfill next to serving tasks.
 """
 
-from eelgrassdrum_core.jobs._pacing import FULL_PERCENT, WorkerPace, next_percent
+from eelgrassdrum_core.jobs._pacing import FULL_PERCENT, BackfillThrottle, next_percent
 
 
-def run_for(pace, worst, from_s, seconds):
+def simulate(throttle, worst_ratio, from_s, seconds):
     """
-    Adjust a pace ten times a second while the worst part stays the same.
+    Adjust the throttling ten times a second at a constant worst ratio.
     """
     for tenth in range(round(seconds * 10)):
         now_s = from_s + tenth / 10
-        wanted = next_percent(pace, worst, now_s)
-        if wanted != pace.percent:
-            pace.percent, pace.changed_s = wanted, now_s
+        new_percent = next_percent(throttle, worst_ratio, now_s)
+        if new_percent != throttle.percent:
+            throttle.percent, throttle.changed_s = new_percent, now_s
     return from_s + seconds
 
 
-def test_backfill_runs_at_full_speed_while_nothing_suffers():
+def test_backfill_runs_at_full_speed_below_the_thresholds():
     """
-    Without a serving task near its target, nothing is slowed.
+    Backfill is not throttled while no serving task is near its target.
     """
-    pace = WorkerPace()
-    run_for(pace, 0.3, 0.0, 5.0)
-    assert pace.percent == FULL_PERCENT
+    throttle = BackfillThrottle()
+    simulate(throttle, 0.3, 0.0, 5.0)
+    assert throttle.percent == FULL_PERCENT
 
 
-def test_backfill_is_stopped_well_before_harm_lasts():
+def test_backfill_stops_when_a_target_is_exceeded():
     """
-    Serving task over its target: backfill stands within two seconds.
+    Backfill stops within two seconds when a serving task exceeds its target.
     """
-    pace = WorkerPace()
-    run_for(pace, 1.3, 0.0, 2.0)
-    assert pace.percent == 0
+    throttle = BackfillThrottle()
+    simulate(throttle, 1.3, 0.0, 2.0)
+    assert throttle.percent == 0
 
 
-def test_backfill_is_slowed_as_a_task_comes_near_its_target():
+def test_backfill_is_slowed_near_a_target():
     """
-    Serving task near its target: backfill is halved, not stopped at once.
+    Backfill is slowed but not stopped at once when a serving task is near its target.
     """
-    pace = WorkerPace()
-    run_for(pace, 0.9, 0.0, 0.1)
-    assert 0 < pace.percent < FULL_PERCENT
+    throttle = BackfillThrottle()
+    simulate(throttle, 0.9, 0.0, 0.1)
+    assert 0 < throttle.percent < FULL_PERCENT
 
 
-def test_backfill_comes_back_step_by_step():
+def test_backfill_speed_recovers_in_steps():
     """
-    After harm has passed, backfill is let go again in steps.
+    Backfill speed is raised in steps after the serving tasks have recovered.
     """
-    pace = WorkerPace()
-    at_s = run_for(pace, 1.3, 0.0, 2.0)
-    at_s = run_for(pace, 0.3, at_s, 1.0)
-    assert pace.percent == 0
-    at_s = run_for(pace, 0.3, at_s, 2.0)
-    assert 0 < pace.percent < FULL_PERCENT
-    run_for(pace, 0.3, at_s, 15.0)
-    assert pace.percent == FULL_PERCENT
+    throttle = BackfillThrottle()
+    at_s = simulate(throttle, 1.3, 0.0, 2.0)
+    at_s = simulate(throttle, 0.3, at_s, 1.0)
+    assert throttle.percent == 0
+    at_s = simulate(throttle, 0.3, at_s, 2.0)
+    assert 0 < throttle.percent < FULL_PERCENT
+    simulate(throttle, 0.3, at_s, 15.0)
+    assert throttle.percent == FULL_PERCENT
--- a/packages/eelgrassdrum-core/tests/test_jobs_planner.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_planner.py
@@ -1,5 +1,5 @@
 """
-Which tasks start, and where.
+Order and placement of tasks that start.
 """
 
 from eelgrassdrum_core.jobs import events, model
@@ -16,37 +16,37 @@
 )
 
 
-def test_priority_goes_before_the_end_of_the_objective():
+def test_priority_precedes_deadline():
     """
-    An urgent queue's job takes the only room although another job waits longer.
+    A job of an urgent queue takes the last free resources although another job has waited longer.
     """
     node = owner_of([worker_entry("w", 1000)])
     jobs = [("old", "usual", (one_step(),), 1.0), ("new", "urgent", (one_step(),), 0.0)]
     assert hand_in(node, jobs) == [("new", "w")]
 
 
-def test_a_late_job_is_not_passed_over():
+def test_late_job_is_not_starved():
     """
-    Burst beyond room: a job past its objective goes before one that could still meet its own.
+    In an overload, a job past its deadline goes before one that could still meet its own.
     """
     node = owner_of([worker_entry("w", 1000)])
     jobs = [("new", "usual", (one_step(),), 0.0), ("late", "usual", (one_step(),), 9.0)]
     assert hand_in(node, jobs) == [("late", "w")]
 
 
-def test_work_that_lasts_goes_first():
+def test_long_running_tasks_go_first():
     """
-    Tasks that last take room before any other.
+    Long-running tasks are placed before all others.
     """
     node = owner_of([worker_entry("w", 1000)])
-    lasting = one_step(is_long_running=True)
-    jobs = [("batch", "urgent", (one_step(),), 5.0), ("lasting", "usual", (lasting,), 0.0)]
+    long_running = one_step(is_long_running=True)
+    jobs = [("batch", "urgent", (one_step(),), 5.0), ("lasting", "usual", (long_running,), 0.0)]
     assert hand_in(node, jobs) == [("lasting", "w")]
 
 
-def test_a_gang_starts_whole_or_not_at_all():
+def test_gang_starts_all_members_or_none():
     """
-    A gang that doesn't fit as a whole starts none of its members.
+    A gang that does not fit completely starts none of its members.
     """
     node = owner_of([worker_entry("w1", 2000), worker_entry("w2", 1000)])
     jobs = [("wide", "usual", (one_step(4, gang=True),), 0.0)]
@@ -55,9 +55,9 @@
     assert len(hand_in(node, jobs, START_S + 3.1)) == 3
 
 
-def test_a_gang_prefers_one_rack():
+def test_gang_prefers_one_rack():
     """
-    A gang of one rack starts on one rack where one has room for all of it.
+    A gang with the same-rack option starts on one rack if that has enough capacity.
     """
     workers = [
         worker_entry("a1", 2000, "r1"),
@@ -69,27 +69,28 @@
     assert {name for _job, name in hand_in(node, jobs)} == {"b1", "b2"}
 
 
-def test_labels_and_spread_are_kept():
+def test_labels_and_spread_are_respected():
     """
-    A task starts only on workers with its label, and no more of a step on one than allowed.
+    A task starts only on workers with its label, and at most the allowed number of tasks of a step
+    on one worker.
     """
     node = owner_of([worker_entry("plain"), worker_entry("fast", labels=("x",))])
     jobs = [("job", "usual", (one_step(3, label="x", max_per_worker=2),), 0.0)]
     assert hand_in(node, jobs) == [("job", "fast"), ("job", "fast")]
 
 
-def test_a_limit_holds_for_a_burst_of_one_workspace():
+def test_workspace_limit_holds_in_a_burst():
     """
-    Burst of one workspace: it has no more running than its limit, whatever is free.
+    A workspace runs no more than its limit in a burst, also if the workers have free resources.
     """
     config = make_owner_config(limit=model.Resources(2500, 0, 0))
     node = owner_of([worker_entry("w", 8000)], config)
     assert len(hand_in(node, [("job", "usual", (one_step(5),), 0.0)])) == 2
 
 
-def test_a_worker_that_fails_everything_gets_little_work():
+def test_suspect_worker_is_used_last():
     """
-    Failing worker: after jobs in a row have failed there, others are preferred.
+    Other workers are preferred to one on which several jobs in a row have failed.
     """
     node = owner_of([worker_entry("bad", 4000), worker_entry("good", 8000)])
     node.workers["bad"].failed_jobs.extend(["j1", "j2", "j3"])
@@ -97,17 +98,17 @@
     assert names == ["good"] * 4
 
 
-def test_nothing_starts_on_a_worker_that_drains():
+def test_draining_worker_takes_no_task():
     """
-    A draining worker takes no task.
+    No task starts on a draining worker.
     """
     node = owner_of([worker_entry("w")._replace(is_draining=True)])
     assert hand_in(node, [("job", "usual", (one_step(),), 0.0)]) == []
 
 
-def test_a_queue_with_advice_starts_only_with_a_ticket():
+def test_queue_with_advice_requires_a_ticket():
     """
-    The advice service is asked first, its refusals hold, and the order carries the ticket.
+    Tickets are requested first, refused workers are not used, and the order carries the ticket.
     """
     node = owner_of([worker_entry("w1"), worker_entry("w2")], make_owner_config(has_advice=True))
     assert hand_in(node, [("job", "usual", (one_step(),), 0.0)]) == []
@@ -119,18 +120,18 @@
     assert [order.ticket for order in orders] == ["ticket"]
 
 
-def test_tickets_of_the_next_step_are_fetched_ahead():
+def test_tickets_of_the_next_step_are_prefetched():
     """
-    A step that waits for another is asked about before it can start.
+    Tickets are requested for a step that still waits for another one.
     """
     node = owner_of([worker_entry("w1")], make_owner_config(has_advice=True))
     hand_in(node, [("job", "usual", (one_step(), one_step(after=(0,))), 0.0)])
     assert node.advice[("job", 0, 1)].is_asking
 
 
-def test_an_expired_ticket_is_asked_for_again():
+def test_expired_ticket_is_requested_again():
     """
-    A ticket that has run out starts nothing, and another one is asked for.
+    An expired ticket starts no task, and a new one is requested.
     """
     node = owner_of([worker_entry("w1", 1000)], make_owner_config(has_advice=True))
     hand_in(node, [("job", "usual", (one_step(2),), 0.0)])
