--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config.py
@@ -14,7 +14,7 @@
 T = TypeVar("T")
 
 # Earlier revisions kept per document, for history and rollback.
-REVISIONS_KEPT = 20
+MAX_REVISIONS = 20
 
 REASON_INVALID = "invalid_document"
 REASON_NOT_SHARED = "service_not_shared"
@@ -139,10 +139,10 @@
         return REASON_NOT_SHARED
     revisions = config.documents.setdefault(name, [])
     revisions.append(revision)
-    del revisions[:-REVISIONS_KEPT]
-    config.services = _replace(config.services, name, services)
-    config.queues = _replace(config.queues, name, queues)
-    config.teams = _replace(config.teams, name, teams)
+    del revisions[:-MAX_REVISIONS]
+    config.services = _replace_workspace(config.services, name, services)
+    config.queues = _replace_workspace(config.queues, name, queues)
+    config.teams = _replace_workspace(config.teams, name, teams)
     config.pools[name] = read_pools(name, fields)
     return ""
 
@@ -166,7 +166,7 @@
     return False
 
 
-def _replace(current: dict[str, T], workspace: str, new: dict[str, T]) -> dict[str, T]:
+def _replace_workspace(current: dict[str, T], workspace: str, new: dict[str, T]) -> dict[str, T]:
     kept = {key: value for key, value in current.items() if not key.startswith(f"{workspace}/")}
     return {**kept, **new}
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_checks.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_checks.py
@@ -10,16 +10,16 @@
 from ._config_lines import Path
 from ._config_schema import FLEET, Document, Pool, PoolSize, Queue, Service, Team
 
-Found = tuple[Path, str]
+Finding = tuple[Path, str]
 """Where a fault stands in its document, and what it is."""
 
 _FLEET_PREFIX = f"{FLEET}/"
 
-_ROUNDING = 1e-9
+_ROUNDING_TOLERANCE = 1e-9
 """Keeps a fraction such as 0.3 of 10 from being rounded down to 2."""
 
 
-def count_of_fraction(fraction: float, executors: int) -> int:
+def max_unavailable_count(fraction: float, executors: int) -> int:
     """
     Turn an availability budget into a count.
 
@@ -27,10 +27,10 @@
     :param executors: the executors of the service.
     :returns: how many executors may be down, rounded down.
     """
-    return floor(fraction * executors + _ROUNDING)
+    return floor(fraction * executors + _ROUNDING_TOLERANCE)
 
 
-def check_document(document: Document) -> Iterator[Found]:
+def check_document(document: Document) -> Iterator[Finding]:
     """
     Check one document as far as it can be checked alone.
 
@@ -39,14 +39,14 @@
     """
     fields = cast(Mapping[str, list[Any]], document)
     for field in ("services", "pools", "queues", "teams", "operators"):
-        yield from _duplicates(field, [entry["name"] for entry in fields.get(field, [])])
-    yield from _services(fields["services"], fields["pools"])
-    yield from _pools(fields["pools"])
-    yield from _queues(fields.get("queues", []))
-    yield from _teams(fields.get("teams", []))
-    yield from _references(document)
+        yield from _check_unique_names(field, [entry["name"] for entry in fields.get(field, [])])
+    yield from _check_services(fields["services"], fields["pools"])
+    yield from _check_pools(fields["pools"])
+    yield from _check_queues(fields.get("queues", []))
+    yield from _check_teams(fields.get("teams", []))
+    yield from _check_references(document)
     if document["name"] == FLEET:
-        yield from _fleet(document)
+        yield from _check_fleet(document)
 
 
 def check_across(documents: Mapping[str, Document]) -> Iterator[tuple[str, Path, str]]:
@@ -60,11 +60,11 @@
     for name, document in documents.items():
         if name == FLEET or fleet is None:
             continue
-        for path, message in _fleet_references(document, fleet):
+        for path, message in _check_fleet_references(document, fleet):
             yield name, path, message
 
 
-def _duplicates(field: str, names: Sequence[str]) -> Iterator[Found]:
+def _check_unique_names(field: str, names: Sequence[str]) -> Iterator[Finding]:
     seen: set[str] = set()
     for position, name in enumerate(names):
         if name in seen:
@@ -72,21 +72,21 @@
         seen.add(name)
 
 
-def _services(services: list[Service], pools: list[Pool]) -> Iterator[Found]:
+def _check_services(services: list[Service], pools: list[Pool]) -> Iterator[Finding]:
     sizes_by_service: dict[str, list[PoolSize]] = defaultdict(list)
     for pool in pools:
         sizes_by_service[pool["service"]].append(pool["size"])
     for position, service in enumerate(services):
         path: Path = ("services", position)
         sizes = sizes_by_service[service["name"]]
-        yield from ((path, message) for message in _budget(service, sizes))
-        room = sum(size["max"] for size in sizes)
-        if sizes and room < service["executors"]:
-            message = f"its pools hold {room} instances at most, fewer than its executors"
+        yield from ((path, message) for message in _check_budget(service, sizes))
+        max_instances = sum(size["max"] for size in sizes)
+        if sizes and max_instances < service["executors"]:
+            message = f"its pools hold {max_instances} instances at most, fewer than its executors"
             yield (*path, "executors"), message
 
 
-def _budget(service: Service, sizes: list[PoolSize]) -> Iterator[str]:
+def _check_budget(service: Service, sizes: list[PoolSize]) -> Iterator[str]:
     """
     Check that a budget keeps something up and lets something be maintained.
 
@@ -97,7 +97,7 @@
         yield "give availability_budget or max_unavailable"
         return
     count = service["max_unavailable"]
-    if count != _count_of(service, count):
+    if count != _budget_count(service, count):
         yield f"availability_budget and max_unavailable = {count} differ"
     if count >= service["executors"]:
         yield f"all {service['executors']} executors may be down at once: not a budget"
@@ -106,13 +106,13 @@
         yield "nothing may be down and no pool can grow, so no instance could be maintained"
 
 
-def _count_of(service: Service, otherwise: int) -> int:
+def _budget_count(service: Service, otherwise: int) -> int:
     if "availability_budget" not in service:
         return otherwise
-    return count_of_fraction(service["availability_budget"], service["executors"])
+    return max_unavailable_count(service["availability_budget"], service["executors"])
 
 
-def _pools(pools: list[Pool]) -> Iterator[Found]:
+def _check_pools(pools: list[Pool]) -> Iterator[Finding]:
     spares = Counter(pool["role"] for pool in pools if pool["spare"])
     for position, pool in enumerate(pools):
         path: Path = ("pools", position)
@@ -125,21 +125,21 @@
             yield (*path, "spare"), f"more than one spare pool of the role {pool['role']!r}"
 
 
-def _queues(queues: list[Queue]) -> Iterator[Found]:
+def _check_queues(queues: list[Queue]) -> Iterator[Finding]:
     for position, queue in enumerate(queues):
         if queue["max_bytes"] < queue["max_queued"]:
             message = f"cannot hold max_queued = {queue['max_queued']} requests of one byte"
             yield ("queues", position, "max_bytes"), message
 
 
-def _teams(teams: list[Team]) -> Iterator[Found]:
+def _check_teams(teams: list[Team]) -> Iterator[Finding]:
     for position, team in enumerate(teams):
         if team["reserved"] > team["limit"]:
             message = f"{team['reserved']} is above the team's limit of {team['limit']}"
             yield ("teams", position, "reserved"), message
 
 
-def _references(document: Document) -> Iterator[Found]:
+def _check_references(document: Document) -> Iterator[Finding]:
     """
     Check references to services of the same document.
     """
@@ -155,7 +155,7 @@
                 yield (field, position, "service"), f"no service {name!r} in this document"
 
 
-def _fleet(document: Document) -> Iterator[Found]:
+def _check_fleet(document: Document) -> Iterator[Finding]:
     fields = cast(Mapping[str, list[Any]], document)
     yield from (
         (("zones", position), f"the zone {zone!r} is named twice")
@@ -166,7 +166,7 @@
         yield ("measures",), "one weight at least must be above 0"
 
 
-def _fleet_references(document: Document, fleet: Document) -> Iterator[Found]:
+def _check_fleet_references(document: Document, fleet: Document) -> Iterator[Finding]:
     """
     Check references from a workspace to services of the fleet.
     """
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_lines.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_lines.py
@@ -86,13 +86,13 @@
     lines: dict[Path, int] = {}
     lengths: dict[Path, int] = {}
     table: Path = ()
-    for statement in _statements(text):
+    for statement in _iter_statements(text):
         parsed = tomllib.loads(statement.text)
         if statement.text.lstrip().startswith("["):
             table = _enter_table(parsed, lengths)
             lines.setdefault(table, statement.line)
         else:
-            for path in _paths(parsed):
+            for path in _iter_paths(parsed):
                 lines.setdefault(table + path, statement.line)
     return lines
 
@@ -111,21 +111,21 @@
     return 1
 
 
-def _statements(text: str) -> Iterator[Statement]:
+def _iter_statements(text: str) -> Iterator[Statement]:
     """
     Split a text into statements, by adding lines until what was gathered parses.
     """
-    gathered = ""
+    pending = ""
     start = 1
     for number, line in enumerate(text.splitlines(keepends=True), start=1):
-        if not gathered:
+        if not pending:
             start = number
-        gathered += line
-        if not _parses(gathered):
+        pending += line
+        if not _parses(pending):
             continue
-        if tomllib.loads(gathered):
-            yield Statement(start, gathered)
-        gathered = ""
+        if tomllib.loads(pending):
+            yield Statement(start, pending)
+        pending = ""
 
 
 def _parses(text: str) -> bool:
@@ -152,12 +152,12 @@
     return path
 
 
-def _paths(value: Any, prefix: Path = ()) -> Iterator[Path]:
+def _iter_paths(value: Any, prefix: Path = ()) -> Iterator[Path]:
     if prefix:
         yield prefix
     if isinstance(value, dict):
         for key, item in value.items():
-            yield from _paths(item, (*prefix, key))
+            yield from _iter_paths(item, (*prefix, key))
     elif isinstance(value, list):
         for position, item in enumerate(value):
-            yield from _paths(item, (*prefix, position))
+            yield from _iter_paths(item, (*prefix, position))
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_template.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_template.py
@@ -31,7 +31,7 @@
 TEMPLATE = "template"
 """The field of a parameters file that names its template."""
 
-_USE = re.compile(r"\$\{([^}]*)\}")
+_PLACEHOLDER = re.compile(r"\$\{([^}]*)\}")
 _TYPES: dict[str, tuple[type, ...]] = {
     "string": (str,),
     "int": (int,),
@@ -65,7 +65,7 @@
     locate: Locate
 
 
-class _Text(NamedTuple):
+class _ParsedFile(NamedTuple):
     """
     A parsed file with the lines of its values.
     """
@@ -93,55 +93,57 @@
     :returns: the document with defaults filled in, or every fault of both files.
     """
     parsed = [_parse(item) for item in (source, parameters) if item is not None]
-    broken = [item for item in parsed if isinstance(item, Fault)]
-    texts = [item for item in parsed if isinstance(item, _Text)]
-    if broken:
-        return _refused(broken)
-    template = texts[0]
-    given = texts[1] if len(texts) > 1 else _Text(source.file, {}, {})
-    values, faults = _values(template, given)
+    parse_faults = [item for item in parsed if isinstance(item, Fault)]
+    parsed_files = [item for item in parsed if isinstance(item, _ParsedFile)]
+    if parse_faults:
+        return _rejected(parse_faults)
+    template = parsed_files[0]
+    parameters_file = parsed_files[1] if len(parsed_files) > 1 else _ParsedFile(source.file, {}, {})
+    values, faults = _resolve_parameters(template, parameters_file)
     if faults:
-        return _refused(faults)
+        return _rejected(faults)
     tree = {key: value for key, value in template.tree.items() if key != PARAMETERS}
     origins: dict[Path, str] = {}
     filled = _substitute(tree, values, (), origins)
-    locate = _locator(template, given, origins)
+    locate = _build_locate(template, parameters_file, origins)
     checked = validate(filled, locate)
     if isinstance(checked, list):
         return Rendering(None, checked, locate)
     return Rendering(checked, [], locate)
 
 
-def _refused(faults: list[Fault]) -> Rendering:
+def _rejected(faults: list[Fault]) -> Rendering:
     return Rendering(None, sorted(faults), lambda path: ("", 0))
 
 
-def _parse(source: Source) -> _Text | Fault:
+def _parse(source: Source) -> _ParsedFile | Fault:
     tree = parse_toml(source)
     if isinstance(tree, Fault):
         return tree
-    return _Text(source.file, tree, index_lines(source.text))
+    return _ParsedFile(source.file, tree, index_lines(source.text))
 
 
-def _values(template: _Text, given: _Text) -> tuple[dict[str, Any], list[Fault]]:
+def _resolve_parameters(
+    template: _ParsedFile, parameters_file: _ParsedFile
+) -> tuple[dict[str, Any], list[Fault]]:
     """
     Work out the value of each parameter.
 
     :returns: the values, and every fault of the declarations, the values and the uses.
     """
-    declared = _declarations(template)
+    declared = _read_declarations(template)
     if isinstance(declared, list):
         return {}, declared
-    settings = given.tree.get(PARAMETERS, {})
+    settings = parameters_file.tree.get(PARAMETERS, {})
     if not isinstance(settings, dict):
-        return {}, [given.fault((PARAMETERS,), "not a table")]
+        return {}, [parameters_file.fault((PARAMETERS,), "not a table")]
     faults = [
-        given.fault((key,), "unknown field")
-        for key in given.tree
+        parameters_file.fault((key,), "unknown field")
+        for key in parameters_file.tree
         if key not in (TEMPLATE, PARAMETERS)
     ]
     faults += [
-        given.fault((PARAMETERS, name), f"{template.file} declares no such parameter")
+        parameters_file.fault((PARAMETERS, name), f"{template.file} declares no such parameter")
         for name in settings
         if name not in declared
     ]
@@ -149,16 +151,16 @@
     for name, declaration in declared.items():
         if name in settings:
             values[name] = settings[name]
-            message = _refusal(declaration, settings[name])
-            faults += [given.fault((PARAMETERS, name), message)] if message else []
+            message = _check_value(declaration, settings[name])
+            faults += [parameters_file.fault((PARAMETERS, name), message)] if message else []
         elif "default" in declaration:
             values[name] = declaration["default"]
         else:
-            faults.append(given.fault((PARAMETERS, name), "missing parameter"))
-    return values, faults + list(_unknown_uses(template, declared))
+            faults.append(parameters_file.fault((PARAMETERS, name), "missing parameter"))
+    return values, faults + list(_check_placeholders(template, declared))
 
 
-def _declarations(template: _Text) -> dict[str, Declaration] | list[Fault]:
+def _read_declarations(template: _ParsedFile) -> dict[str, Declaration] | list[Fault]:
     try:
         declared = _DECLARATIONS.validate_python(
             template.tree.get(PARAMETERS, {}), strict=True, extra="forbid"
@@ -170,13 +172,13 @@
     for name, declaration in declared.items():
         if "default" not in declaration:
             continue
-        message = _refusal(declaration, declaration["default"])
+        message = _check_value(declaration, declaration["default"])
         if message:
             faults.append(template.fault((PARAMETERS, name, "default"), message))
     return faults or declared
 
 
-def _refusal(declaration: Declaration, value: Any) -> str:
+def _check_value(declaration: Declaration, value: Any) -> str:
     """
     Check a value against its declaration.
 
@@ -196,26 +198,28 @@
     return ""
 
 
-def _unknown_uses(template: _Text, declared: Mapping[str, Declaration]) -> Iterator[Fault]:
-    for path, text in _strings(template.tree, ()):
+def _check_placeholders(
+    template: _ParsedFile, declared: Mapping[str, Declaration]
+) -> Iterator[Fault]:
+    for path, text in _iter_strings(template.tree, ()):
         if path[:1] == (PARAMETERS,):
             continue
-        for name in _USE.findall(text):
+        for name in _PLACEHOLDER.findall(text):
             if name not in declared:
                 yield template.fault(path, f"uses the undeclared parameter {name!r}")
-            elif declared[name]["type"] not in _SCALAR_TYPES and not _USE.fullmatch(text):
+            elif declared[name]["type"] not in _SCALAR_TYPES and not _PLACEHOLDER.fullmatch(text):
                 yield template.fault(path, f"the list {name!r} cannot be part of a string")
 
 
-def _strings(value: Any, path: Path) -> Iterator[tuple[Path, str]]:
+def _iter_strings(value: Any, path: Path) -> Iterator[tuple[Path, str]]:
     if isinstance(value, str):
         yield path, value
     elif isinstance(value, dict):
         for key, item in value.items():
-            yield from _strings(item, (*path, key))
+            yield from _iter_strings(item, (*path, key))
     elif isinstance(value, list):
         for position, item in enumerate(value):
-            yield from _strings(item, (*path, position))
+            yield from _iter_strings(item, (*path, position))
 
 
 def _substitute(value: Any, values: dict[str, Any], path: Path, origins: dict[Path, str]) -> Any:
@@ -233,20 +237,22 @@
         ]
     if not isinstance(value, str):
         return value
-    whole = _USE.fullmatch(value)
-    if whole:
-        origins[path] = whole[1]
-        return values[whole[1]]
-    return _USE.sub(lambda use: _as_text(values[use[1]]), value)
+    full_match = _PLACEHOLDER.fullmatch(value)
+    if full_match:
+        origins[path] = full_match[1]
+        return values[full_match[1]]
+    return _PLACEHOLDER.sub(lambda use: _format_value(values[use[1]]), value)
 
 
-def _as_text(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value)
 
 
-def _locator(template: _Text, given: _Text, origins: dict[Path, str]) -> Locate:
+def _build_locate(
+    template: _ParsedFile, parameters_file: _ParsedFile, origins: dict[Path, str]
+) -> Locate:
     """
     Make a function that finds values of the rendered document in the file that set them.
     """
@@ -257,8 +263,8 @@
             if name is None:
                 continue
             origin: Path = (PARAMETERS, name, *path[end:])
-            if name in given.tree.get(PARAMETERS, {}):
-                return given.file, line_of(given.lines, origin)
+            if name in parameters_file.tree.get(PARAMETERS, {}):
+                return parameters_file.file, line_of(parameters_file.lines, origin)
             return template.file, line_of(template.lines, (PARAMETERS, name, "default"))
         return template.file, line_of(template.lines, path)
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_validate.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_validate.py
@@ -10,7 +10,7 @@
 
 from pydantic import TypeAdapter, ValidationError
 
-from ._config_checks import check_document, count_of_fraction
+from ._config_checks import check_document, max_unavailable_count
 from ._config_lines import Fault, Path, dotted
 from ._config_schema import (
     FLEET,
@@ -172,15 +172,15 @@
     try:
         return adapter.validate_python(raw, strict=True, extra="forbid")
     except ValidationError as exc:
-        return list(_problems(exc))
+        return list(_iter_problems(exc))
 
 
-def _problems(exc: ValidationError) -> Iterator[Problem]:
+def _iter_problems(exc: ValidationError) -> Iterator[Problem]:
     for error in exc.errors(include_url=False, include_context=False, include_input=False):
-        yield Problem(error["loc"], _message(error["type"], error["msg"]))
+        yield Problem(error["loc"], _format_message(error["type"], error["msg"]))
 
 
-def _message(kind: str, message: str) -> str:
+def _format_message(kind: str, message: str) -> str:
     if kind == "extra_forbidden":
         return "unknown field"
     if kind == "missing":
@@ -196,15 +196,15 @@
     for field in list_fields:
         defaults = _ENTRY_DEFAULTS[field]
         filled[field] = [{**defaults, **entry} for entry in document.get(field, [])]
-    filled["services"] = [_with_count(service) for service in filled["services"]]
+    filled["services"] = [_add_budget_count(service) for service in filled["services"]]
     return cast(Document, filled)
 
 
-def _with_count(service: dict[str, Any]) -> dict[str, Any]:
+def _add_budget_count(service: dict[str, Any]) -> dict[str, Any]:
     """
     Add the count that a fraction allows, unless the document gives the count.
     """
     if "availability_budget" not in service or "max_unavailable" in service:
         return service
-    count = count_of_fraction(service["availability_budget"], service["executors"])
+    count = max_unavailable_count(service["availability_budget"], service["executors"])
     return {**service, "max_unavailable": count}
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_dispatch.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_dispatch.py
@@ -159,7 +159,7 @@
 
 def _pump(state: State, service: str) -> Iterator[object]:
     while True:
-        endpoint = _endpoints.choose(state, service)
+        endpoint = _endpoints.choose_endpoint(state, service)
         if endpoint is None:
             return
         req = _fair.pop(state.fair, service, lambda req: _may_start(state, req))
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints.py
@@ -9,14 +9,14 @@
 from ._state import State
 
 # An endpoint that the list has left out is remembered, so that an older list cannot revive it.
-FORGET_AFTER_S = 60.0
+UNLISTED_RETENTION_S = 60.0
 # An endpoint gets new work for this time after a probe that showed it live.
-LIVE_FOR_S = 4.5
-FIRST_PROBE_S = 1.0
+LIVENESS_TTL_S = 4.5
+FIRST_PROBE_GRACE_S = 1.0
 # A new endpoint gets its full work after this time when others of its service are older.
 SLOW_START_S = 5.0
 # Part of the slots of another zone's endpoint that one instance may use.
-REMOTE_PART = 4
+REMOTE_SLOT_DIVISOR = 4
 
 
 def update_from_list(
@@ -34,14 +34,14 @@
     known = {item.id: item for item in listed if item.role == "endpoint"}
     for endpoint in list(state.endpoints.values()):
         endpoint.listed = endpoint.id in known
-        is_old = now_s - endpoint.listed_s > FORGET_AFTER_S
+        is_old = now_s - endpoint.listed_s > UNLISTED_RETENTION_S
         if not endpoint.listed and is_old and endpoint.in_flight == 0:
             del state.endpoints[endpoint.id]
     for item in known.values():
-        _take_item(state, item, now_s)
+        _apply_listed(state, item, now_s)
 
 
-def renew(endpoint: Endpoint, incarnation: int, now_s: float) -> None:
+def reset_for_incarnation(endpoint: Endpoint, incarnation: int, now_s: float) -> None:
     """
     Forget what was known of an older incarnation.
 
@@ -56,11 +56,11 @@
     endpoint.failure_rate = 0.0
     endpoint.samples = 0
     endpoint.ejections = 0
-    endpoint.trial_left = 0
-    endpoint.silent_probes = 0
+    endpoint.trial_attempts_left = 0
+    endpoint.failed_probes = 0
 
 
-def choose(state: State, service: str) -> Endpoint | None:
+def choose_endpoint(state: State, service: str) -> Endpoint | None:
     """
     Choose the least loaded endpoint, in another zone only when the own zone has no room.
 
@@ -78,7 +78,7 @@
     free = [
         endpoint
         for endpoint in usable
-        if endpoint.in_flight < _room(state, endpoint, own.zone, oldest_s)
+        if endpoint.in_flight < _max_in_flight(state, endpoint, own.zone, oldest_s)
     ]
     return pick(state, free)
 
@@ -100,23 +100,23 @@
     return min(free, key=load, default=None)
 
 
-def is_usable(endpoint: Endpoint, own_zone: str, now_s: float) -> bool:
+def is_usable(endpoint: Endpoint, local_zone: str, now_s: float) -> bool:
     """
     Tell whether an endpoint may get new work.
 
     :param endpoint: the endpoint.
-    :param own_zone: availability zone of this instance.
+    :param local_zone: availability zone of this instance.
     :param now_s: time.
     :returns: whether it may.
     """
     if not endpoint.listed or endpoint.leaving or endpoint.retry_at_s > now_s:
         return False
-    if endpoint.live_s < 0:
+    if endpoint.last_healthy_probe_s < 0:
         # The first probe may still be on its way; work for another zone waits for it.
-        if endpoint.zone != own_zone:
+        if endpoint.zone != local_zone:
             return False
-        return endpoint.first_probe_s < 0 or now_s - endpoint.first_probe_s <= FIRST_PROBE_S
-    return now_s - endpoint.live_s <= LIVE_FOR_S
+        return endpoint.first_probe_s < 0 or now_s - endpoint.first_probe_s <= FIRST_PROBE_GRACE_S
+    return now_s - endpoint.last_healthy_probe_s <= LIVENESS_TTL_S
 
 
 def has_any(state: EndpointState, service: str) -> bool:
@@ -133,7 +133,7 @@
     )
 
 
-def _take_item(state: EndpointState, item: ListedInstance, now_s: float) -> None:
+def _apply_listed(state: EndpointState, item: ListedInstance, now_s: float) -> None:
     endpoint = state.endpoints.get(item.id)
     if endpoint is None:
         endpoint = Endpoint(item.id, item.service, item.address, item.zone, item.slots)
@@ -141,7 +141,7 @@
         endpoint.incarnation = item.incarnation
         state.endpoints[item.id] = endpoint
     elif item.incarnation > endpoint.incarnation:
-        renew(endpoint, item.incarnation, now_s)
+        reset_for_incarnation(endpoint, item.incarnation, now_s)
     endpoint.listed = True
     endpoint.listed_s = now_s
     if item.incarnation == endpoint.incarnation:
@@ -152,11 +152,11 @@
         endpoint.leaving = endpoint.leaving or item.state == "leaving"
 
 
-def _room(state: State, endpoint: Endpoint, own_zone: str, oldest_s: float) -> int:
-    if endpoint.trial_left:
+def _max_in_flight(state: State, endpoint: Endpoint, local_zone: str, oldest_s: float) -> int:
+    if endpoint.trial_attempts_left:
         return 1
-    if endpoint.zone != own_zone:
-        return max(1, endpoint.slots // REMOTE_PART)
+    if endpoint.zone != local_zone:
+        return max(1, endpoint.slots // REMOTE_SLOT_DIVISOR)
     age_s = state.now_s - endpoint.since_s
     if age_s < SLOW_START_S and endpoint.since_s - oldest_s >= SLOW_START_S:
         return max(1, int(endpoint.slots * age_s / SLOW_START_S))
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints_health.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints_health.py
@@ -21,27 +21,29 @@
 from ._overload import load_of
 from ._state import State
 
-DUTY_PROBE_S = 1.0
-OTHER_PROBE_S = 3.0
+PRIMARY_PROBE_INTERVAL_S = 1.0
+SECONDARY_PROBE_INTERVAL_S = 3.0
 # Endpoints of other zones are probed while work for them waits, or was sent to them lately.
 REMOTE_USE_S = 10.0
 PROBE_TIMEOUT_S = 1.0
 # Probes in a row without an answer after which an endpoint gets no work.
-MAX_SILENT_PROBES = 2
+MAX_FAILED_PROBES = 2
 FAILURE_WEIGHT = 0.2
 # A failure counts for more when it comes much sooner than answers of the service do.
 FAST_FAILURE_WEIGHT = 0.4
-FAST_PART = 0.3
+FAST_FAILURE_RATIO = 0.3
 MIN_SAMPLES = 3
-EJECT_RATE = 0.5
+EJECT_FAILURE_RATE = 0.5
 # An endpoint is not to blame when others of its service fail nearly as often.
-EJECT_OVER_OTHERS = 0.3
-EJECT_S = 0.5
-MAX_EJECT_S = 30.0
+EJECT_RATE_MARGIN = 0.3
+BASE_EJECTION_S = 0.5
+MAX_EJECTION_S = 30.0
 TRIAL_ATTEMPTS = 3
 
 
-def note_answer(state: State, endpoint_id: str, failed: bool, run_s: float, usual_s: float) -> None:
+def note_answer(
+    state: State, endpoint_id: str, failed: bool, run_s: float, mean_run_s: float
+) -> None:
     """
     Note that an attempt was answered.
 
@@ -49,21 +51,21 @@
     :param endpoint_id: its id.
     :param failed: whether the answer was a failure of the endpoint.
     :param run_s: seconds that the attempt took.
-    :param usual_s: mean seconds that attempts of the service take.
+    :param mean_run_s: mean seconds that attempts of the service take.
     """
     endpoint = state.endpoints.endpoints.get(endpoint_id)
     if endpoint is None:
         return
     weight = FAILURE_WEIGHT
-    if failed and run_s < FAST_PART * usual_s:
+    if failed and run_s < FAST_FAILURE_RATIO * mean_run_s:
         weight = FAST_FAILURE_WEIGHT
     endpoint.samples += 1
     endpoint.failure_rate += weight * (float(failed) - endpoint.failure_rate)
     if failed:
-        _judge(state, endpoint)
+        _eject_if_failing(state, endpoint)
         return
-    endpoint.trial_left = max(0, endpoint.trial_left - 1)
-    if endpoint.trial_left == 0 and endpoint.failure_rate < EJECT_RATE / 2:
+    endpoint.trial_attempts_left = max(0, endpoint.trial_attempts_left - 1)
+    if endpoint.trial_attempts_left == 0 and endpoint.failure_rate < EJECT_FAILURE_RATE / 2:
         endpoint.ejections = 0
 
 
@@ -92,7 +94,7 @@
         return
     endpoint.samples += 1
     endpoint.failure_rate += FAILURE_WEIGHT * (1.0 - endpoint.failure_rate)
-    _judge(state, endpoint)
+    _eject_if_failing(state, endpoint)
     yield _probe(state, endpoint)
 
 
@@ -120,7 +122,7 @@
     alive = [m.sender.instance for m in zone_peers(state) if m.state == ALIVE]
     for endpoint in state.endpoints.endpoints.values():
         interval_s = _probe_interval(state, endpoint, alive)
-        if interval_s is not None and state.now_s - endpoint.probed_s >= interval_s:
+        if interval_s is not None and state.now_s - endpoint.last_probe_s >= interval_s:
             yield _probe(state, endpoint)
 
 
@@ -132,21 +134,21 @@
     if endpoint is None or (event.healthy and event.incarnation < endpoint.incarnation):
         return
     if not event.healthy:
-        endpoint.silent_probes += 1
-        if endpoint.silent_probes >= MAX_SILENT_PROBES:
+        endpoint.failed_probes += 1
+        if endpoint.failed_probes >= MAX_FAILED_PROBES:
             _eject(state, endpoint)
         return
     if event.incarnation > endpoint.incarnation:
-        _endpoints.renew(endpoint, event.incarnation, state.now_s)
+        _endpoints.reset_for_incarnation(endpoint, event.incarnation, state.now_s)
     if event.leaving:
         yield from note_leaving(state, endpoint.id)
         return
-    own_zone = state.identity.sender.zone
-    was_usable = _endpoints.is_usable(endpoint, own_zone, state.now_s)
-    if endpoint.silent_probes:
-        endpoint.silent_probes = 0
+    local_zone = state.identity.sender.zone
+    was_usable = _endpoints.is_usable(endpoint, local_zone, state.now_s)
+    if endpoint.failed_probes:
+        endpoint.failed_probes = 0
         endpoint.retry_at_s = min(endpoint.retry_at_s, state.now_s)
-    endpoint.live_s = endpoint.probed_s
+    endpoint.last_healthy_probe_s = endpoint.last_probe_s
     if not was_usable:
         yield Emit(CapacityChanged(endpoint.service))
 
@@ -164,7 +166,7 @@
 
 
 def _probe(state: State, endpoint: Endpoint) -> ProbeEndpoint:
-    endpoint.probed_s = state.now_s
+    endpoint.last_probe_s = state.now_s
     if endpoint.first_probe_s < 0:
         endpoint.first_probe_s = state.now_s
     return ProbeEndpoint(endpoint.id, endpoint.address, PROBE_TIMEOUT_S)
@@ -176,18 +178,18 @@
     own = state.identity.sender
     if endpoint.zone != own.zone:
         is_used = endpoint.used_s >= 0 and state.now_s - endpoint.used_s < REMOTE_USE_S
-        is_wanted = load_of(state, endpoint.service).total > 0
-        return OTHER_PROBE_S if is_used or is_wanted else None
+        has_waiting = load_of(state, endpoint.service).total > 0
+        return SECONDARY_PROBE_INTERVAL_S if is_used or has_waiting else None
 
     def weight(instance: str) -> int:
         return xxhash.xxh64_intdigest(f"probe {endpoint.id} {instance}".encode())
 
-    has_duty = max([*alive, own.instance], key=weight) == own.instance
-    return DUTY_PROBE_S if has_duty else OTHER_PROBE_S
+    is_primary = max([*alive, own.instance], key=weight) == own.instance
+    return PRIMARY_PROBE_INTERVAL_S if is_primary else SECONDARY_PROBE_INTERVAL_S
 
 
-def _judge(state: State, endpoint: Endpoint) -> None:
-    if endpoint.trial_left:
+def _eject_if_failing(state: State, endpoint: Endpoint) -> None:
+    if endpoint.trial_attempts_left:
         _eject(state, endpoint)
         return
     others = [
@@ -195,28 +197,28 @@
         for other in state.endpoints.endpoints.values()
         if other.service == endpoint.service and other is not endpoint and other.listed
     ]
-    usual = sum(other.failure_rate for other in others) / len(others) if others else 1.0
-    is_worse = endpoint.failure_rate > max(EJECT_RATE, usual + EJECT_OVER_OTHERS)
+    others_rate = sum(other.failure_rate for other in others) / len(others) if others else 1.0
+    is_worse = endpoint.failure_rate > max(EJECT_FAILURE_RATE, others_rate + EJECT_RATE_MARGIN)
     if endpoint.samples >= MIN_SAMPLES and is_worse and _may_eject(state, endpoint):
         _eject(state, endpoint)
 
 
 def _may_eject(state: State, endpoint: Endpoint) -> bool:
     # At least half of the service stays, so that the rest does not collapse under its work.
-    alike = [
+    zone_endpoints = [
         other
         for other in state.endpoints.endpoints.values()
         if other.service == endpoint.service and other.zone == endpoint.zone and not other.leaving
     ]
-    out = sum(other.trial_left > 0 for other in alike)
-    return 2 * (out + 1) <= max(2, len(alike))
+    ejected = sum(other.trial_attempts_left > 0 for other in zone_endpoints)
+    return 2 * (ejected + 1) <= max(2, len(zone_endpoints))
 
 
 def _eject(state: State, endpoint: Endpoint) -> None:
-    pause_s = min(MAX_EJECT_S, EJECT_S * 2**endpoint.ejections)
+    ejection_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**endpoint.ejections)
     endpoint.ejections = min(endpoint.ejections + 1, 10)
-    endpoint.trial_left = TRIAL_ATTEMPTS
-    endpoint.retry_at_s = max(endpoint.retry_at_s, state.now_s + pause_s)
+    endpoint.trial_attempts_left = TRIAL_ATTEMPTS
+    endpoint.retry_at_s = max(endpoint.retry_at_s, state.now_s + ejection_s)
     endpoint.failure_rate = 0.0
     endpoint.samples = 0
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints_state.py
@@ -19,11 +19,11 @@
     :param failure_rate: recent share of attempts that failed, from 0 to 1.
     :param samples: attempts that the share rests on.
     :param ejections: times that it was taken out since it last worked well.
-    :param trial_left: attempts that must succeed, one by one, before it gets its full work.
-    :param silent_probes: probes in a row that got no answer.
-    :param probed_s: time of the last probe, or -1.
+    :param trial_attempts_left: attempts that must succeed, one by one, before it gets its full work.
+    :param failed_probes: probes in a row that got no answer.
+    :param last_probe_s: time of the last probe, or -1.
     :param first_probe_s: time of the first probe, or -1.
-    :param live_s: time at which a probe was sent that showed it live, or -1.
+    :param last_healthy_probe_s: time at which a probe was sent that showed it live, or -1.
     :param used_s: time of the last attempt, or -1.
     """
 
@@ -42,11 +42,11 @@
     failure_rate: float = 0.0
     samples: int = 0
     ejections: int = 0
-    trial_left: int = 0
-    silent_probes: int = 0
-    probed_s: float = -1.0
+    trial_attempts_left: int = 0
+    failed_probes: int = 0
+    last_probe_s: float = -1.0
     first_probe_s: float = -1.0
-    live_s: float = -1.0
+    last_healthy_probe_s: float = -1.0
     used_s: float = -1.0
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_jobs.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_jobs.py
@@ -44,20 +44,20 @@
             self.accelerators - other.accelerators,
         )
 
-    def fits(self, room: "Size") -> bool:
+    def fits(self, available: "Size") -> bool:
         """
         Tell whether this is no more than some room in any resource.
 
-        :param room: what is free.
+        :param available: what is free.
         :returns: whether it fits.
         """
         return (
-            self.cores <= room.cores
-            and self.memory_gb <= room.memory_gb
-            and self.accelerators <= room.accelerators
+            self.cores <= available.cores
+            and self.memory_gb <= available.memory_gb
+            and self.accelerators <= available.accelerators
         )
 
-    def largest_part(self, total: "Size") -> float:
+    def dominant_fraction(self, total: "Size") -> float:
         """
         Give the part of a total in the resource of which this needs most.
 
@@ -68,7 +68,7 @@
         return max((need / whole for need, whole in pairs if whole > 0), default=0.0)
 
 
-NOTHING = Size(0.0, 0.0, 0.0)
+ZERO_SIZE = Size(0.0, 0.0, 0.0)
 
 
 class Worker(NamedTuple):
@@ -87,7 +87,7 @@
     starts: int
 
 
-class TeamUse(NamedTuple):
+class TeamUsage(NamedTuple):
     """
     A team's right to the fleet and its present use.
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_jobs_usage.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_jobs_usage.py
@@ -12,9 +12,9 @@
 
 from ._jobs import Size
 
-SAMPLES_KEPT = 64
+MAX_SAMPLES = 64
 # Jobs seen after which the declared size counts no more.
-ENOUGH_SAMPLES = 5
+MIN_SAMPLES = 5
 MEMORY_QUANTILE = 0.95
 
 
@@ -23,7 +23,7 @@
     Largest use of the last jobs of one workspace and template.
     """
 
-    used: deque[Size] = msgspec.field(default_factory=lambda: deque(maxlen=SAMPLES_KEPT))
+    used: deque[Size] = msgspec.field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
 
 
 def note_usage(history: UsageHistory, used: Size) -> None:
@@ -44,7 +44,7 @@
     :param declared: what its submitter says; accelerators are always taken from here.
     :returns: the size to reserve.
     """
-    if history is None or len(history.used) < ENOUGH_SAMPLES:
+    if history is None or len(history.used) < MIN_SAMPLES:
         return declared
     count = len(history.used)
     cores = sum(used.cores for used in history.used) / count
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement.py
@@ -14,16 +14,23 @@
 
 import msgspec
 
-from ._jobs import NOTHING, RunningJob, Size, TeamUse, WaitingJob, Worker
-from ._placement_fit import FitIndex, exchange_room, find_worker, leave_out, make_index, take_room
-from ._placement_preempt import PreemptIndex, find_victims, make_preempt_index
+from ._jobs import ZERO_SIZE, RunningJob, Size, TeamUsage, WaitingJob, Worker
+from ._placement_fit import (
+    FitIndex,
+    build_fit_index,
+    exclude_worker,
+    find_worker,
+    replace_preempted,
+    reserve_resources,
+)
+from ._placement_preempt import PreemptIndex, build_preempt_index, find_victims
 
 RESERVE_AFTER_S = 60.0
 MAX_RESERVED = 8
 # Jobs of one team that fit nowhere, after which its others are not tried in this plan.
-MISSES_PER_TEAM = 8
+MAX_MISSES_PER_TEAM = 8
 # Part of its fair share that a team keeps when others' urgent work takes its place.
-KEPT_SHARE = 0.95
+PROTECTED_SHARE_RATIO = 0.95
 
 PARKED_TOO_LARGE = "larger_than_any_worker"
 PARKED_NO_LIMIT = "team_may_run_nothing"
@@ -72,7 +79,7 @@
     :param misses: its jobs that fitted nowhere.
     """
 
-    use: TeamUse
+    use: TeamUsage
     running: int
     used: Size
     urgent: deque[WaitingJob]
@@ -84,7 +91,7 @@
     waiting: Sequence[WaitingJob],
     running: Sequence[RunningJob],
     workers: Sequence[Worker],
-    teams: Iterable[TeamUse],
+    teams: Iterable[TeamUsage],
 ) -> Placement:
     """
     Decide which jobs start where.
@@ -95,10 +102,10 @@
     :param teams: all teams.
     :returns: the starts in order, and the jobs that can never run.
     """
-    total = _sum(worker.capacity for worker in workers)
-    parked, able = _park_impossible(waiting, workers, {team.name: team for team in teams})
-    index = make_index(workers)
-    queues = _make_teams(able, teams)
+    total = _sum_sizes(worker.capacity for worker in workers)
+    parked, placeable = _park_unplaceable(waiting, workers, {team.name: team for team in teams})
+    index = build_fit_index(workers)
+    queues = _group_by_team(placeable, teams)
     starts: list[Start] = []
     _place_urgent(queues, index, running, total, starts)
     _place_normal(queues, index, total, starts)
@@ -114,14 +121,14 @@
     :param share: the team's weight.
     :returns: the dominant share divided by the weight.
     """
-    return used.largest_part(total) / share
+    return used.dominant_fraction(total) / share
 
 
-def _park_impossible(
-    waiting: Sequence[WaitingJob], workers: Sequence[Worker], teams: dict[str, TeamUse]
+def _park_unplaceable(
+    waiting: Sequence[WaitingJob], workers: Sequence[Worker], teams: dict[str, TeamUsage]
 ) -> tuple[list[Parked], list[WaitingJob]]:
     shapes = {worker.capacity for worker in workers}
-    parked, able = [], []
+    parked, placeable = [], []
     for job in waiting:
         if job.team not in teams:
             parked.append(Parked(job.id, PARKED_NO_TEAM))
@@ -130,11 +137,11 @@
         elif not any(job.size.fits(shape) for shape in shapes):
             parked.append(Parked(job.id, PARKED_TOO_LARGE))
         else:
-            able.append(job)
-    return parked, able
+            placeable.append(job)
+    return parked, placeable
 
 
-def _make_teams(waiting: Sequence[WaitingJob], teams: Iterable[TeamUse]) -> dict[str, _Team]:
+def _group_by_team(waiting: Sequence[WaitingJob], teams: Iterable[TeamUsage]) -> dict[str, _Team]:
     queues = {team.name: _Team(team, team.running, team.used, deque(), deque()) for team in teams}
     for job in waiting:
         team = queues[job.team]
@@ -150,7 +157,7 @@
     starts: list[Start],
 ) -> None:
     victims: PreemptIndex | None = None
-    heap = [(_level(team, total), name) for name, team in queues.items() if team.urgent]
+    heap = [(_weighted_share(team, total), name) for name, team in queues.items() if team.urgent]
     heapify(heap)
     while heap:
         _, name = heappop(heap)
@@ -160,14 +167,14 @@
         job = team.urgent.popleft()
         worker = find_worker(index, job.size)
         if worker is not None:
-            take_room(index, worker, job.size)
+            reserve_resources(index, worker, job.size)
             starts.append(Start(job.id, worker))
-            _count(team, job.size)
+            _add_running(team, job.size)
         else:
-            victims = victims or make_preempt_index(running, index)
+            victims = victims or build_preempt_index(running, index)
             _preempt(queues, index, victims, total, job, starts)
         if team.urgent:
-            heappush(heap, (_level(team, total), name))
+            heappush(heap, (_weighted_share(team, total), name))
 
 
 def _preempt(
@@ -179,16 +186,16 @@
     starts: list[Start],
 ) -> None:
     weights = sum(team.use.share for team in queues.values())
-    in_use = _sum(team.used for team in queues.values()).largest_part(total)
+    utilization = _sum_sizes(team.used for team in queues.values()).dominant_fraction(total)
 
-    def may_give(running: RunningJob) -> bool:
+    def may_preempt(running: RunningJob) -> bool:
         team = queues.get(running.team)
         if team is None or running.team == job.team:
             return True
-        least = KEPT_SHARE * in_use * team.use.share / weights
-        return team.used.minus(running.size).largest_part(total) >= least
+        protected_share = PROTECTED_SHARE_RATIO * utilization * team.use.share / weights
+        return team.used.minus(running.size).dominant_fraction(total) >= protected_share
 
-    found = find_victims(victims, index.free, job.size, may_give)
+    found = find_victims(victims, index.free, job.size, may_preempt)
     if found is None or len({victim.team for victim in found}) < len(found) > 1:
         # Several jobs of one team could leave it less than its share.
         return
@@ -197,18 +204,18 @@
             team = queues[victim.team]
             team.running -= 1
             team.used = team.used.minus(victim.size)
-    exchange_room(index, found[0].worker, _sum(victim.size for victim in found), job.size)
+    replace_preempted(index, found[0].worker, _sum_sizes(victim.size for victim in found), job.size)
     starts.append(Start(job.id, found[0].worker, tuple(victim.id for victim in found)))
-    _count(queues[job.team], job.size)
+    _add_running(queues[job.team], job.size)
 
 
 def _place_normal(
     queues: dict[str, _Team], index: FitIndex, total: Size, starts: list[Start]
 ) -> None:
     reserved = 0
-    heap = [(_level(team, total), name) for name, team in queues.items() if team.normal]
+    heap = [(_weighted_share(team, total), name) for name, team in queues.items() if team.normal]
     heapify(heap)
-    while heap and index.order:
+    while heap and index.by_free_cores:
         _, name = heappop(heap)
         team = queues[name]
         if team.running >= team.use.limit:
@@ -216,28 +223,28 @@
         job = team.normal.popleft()
         worker = find_worker(index, job.size)
         if worker is not None:
-            take_room(index, worker, job.size)
+            reserve_resources(index, worker, job.size)
             starts.append(Start(job.id, worker))
-            _count(team, job.size)
+            _add_running(team, job.size)
         elif job.waited_s >= RESERVE_AFTER_S and reserved < MAX_RESERVED:
             reserved += 1
-            leave_out(index, index.order[-1])
+            exclude_worker(index, index.by_free_cores[-1])
         team.misses += worker is None
-        if team.normal and team.misses < MISSES_PER_TEAM:
-            heappush(heap, (_level(team, total), name))
+        if team.normal and team.misses < MAX_MISSES_PER_TEAM:
+            heappush(heap, (_weighted_share(team, total), name))
 
 
-def _level(team: _Team, total: Size) -> float:
+def _weighted_share(team: _Team, total: Size) -> float:
     return dominant_share(team.used, total, team.use.share)
 
 
-def _count(team: _Team, size: Size) -> None:
+def _add_running(team: _Team, size: Size) -> None:
     team.running += 1
     team.used = team.used.plus(size)
 
 
-def _sum(sizes: Iterable[Size]) -> Size:
-    total = NOTHING
+def _sum_sizes(sizes: Iterable[Size]) -> Size:
+    total = ZERO_SIZE
     for size in sizes:
         total = total.plus(size)
     return total
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement_fit.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement_fit.py
@@ -10,7 +10,7 @@
 from ._jobs import Size, Worker
 
 # Workers looked at for one job, from the tightest on, before the roomiest ones are tried.
-PROBES = 32
+MAX_PROBED_WORKERS = 32
 
 
 class FitIndex(msgspec.Struct):
@@ -19,24 +19,24 @@
 
     :param free: free room by worker.
     :param starts: jobs that may still be started at each.
-    :param order: ids by free processors.
+    :param by_free_cores: ids by free processors.
     """
 
     free: dict[str, Size]
     starts: dict[str, int]
-    order: SortedKeyList
+    by_free_cores: SortedKeyList
 
 
-def make_index(workers: Iterable[Worker]) -> FitIndex:
+def build_fit_index(workers: Iterable[Worker]) -> FitIndex:
     """
     Order workers by their free room.
 
     :param workers: the workers.
     :returns: the index.
     """
-    able = [worker for worker in workers if worker.starts > 0]
-    free = {worker.id: worker.capacity.minus(worker.used) for worker in able}
-    starts = {worker.id: worker.starts for worker in able}
+    eligible = [worker for worker in workers if worker.starts > 0]
+    free = {worker.id: worker.capacity.minus(worker.used) for worker in eligible}
+    starts = {worker.id: worker.starts for worker in eligible}
     return FitIndex(free, starts, SortedKeyList(free, key=lambda name: (free[name].cores, name)))
 
 
@@ -48,20 +48,22 @@
     :param size: what the job needs.
     :returns: id of a worker, or ``None``.
     """
-    first = index.order.bisect_key_left((size.cores, ""))
-    count = len(index.order)
-    for position in range(first, min(first + PROBES, count)):
-        name: str = index.order[position]
+    first = index.by_free_cores.bisect_key_left((size.cores, ""))
+    count = len(index.by_free_cores)
+    for position in range(first, min(first + MAX_PROBED_WORKERS, count)):
+        name: str = index.by_free_cores[position]
         if size.fits(index.free[name]):
             return name
-    for position in range(count - 1, max(first + PROBES, count - PROBES) - 1, -1):
-        name = index.order[position]
+    for position in range(
+        count - 1, max(first + MAX_PROBED_WORKERS, count - MAX_PROBED_WORKERS) - 1, -1
+    ):
+        name = index.by_free_cores[position]
         if size.fits(index.free[name]):
             return name
     return None
 
 
-def take_room(index: FitIndex, worker: str, size: Size) -> None:
+def reserve_resources(index: FitIndex, worker: str, size: Size) -> None:
     """
     Take a job's room at a worker.
 
@@ -69,24 +71,24 @@
     :param worker: id of the worker.
     :param size: what the job needs.
     """
-    index.order.remove(worker)
+    index.by_free_cores.remove(worker)
     index.free[worker] = index.free[worker].minus(size)
     index.starts[worker] -= 1
     if index.starts[worker] > 0:
-        index.order.add(worker)
+        index.by_free_cores.add(worker)
 
 
-def leave_out(index: FitIndex, worker: str) -> None:
+def exclude_worker(index: FitIndex, worker: str) -> None:
     """
     Give a worker no further job in this plan, except by preemption.
 
     :param index: changed in place.
     :param worker: id of the worker.
     """
-    index.order.discard(worker)
+    index.by_free_cores.discard(worker)
 
 
-def exchange_room(index: FitIndex, worker: str, freed: Size, size: Size) -> None:
+def replace_preempted(index: FitIndex, worker: str, freed: Size, size: Size) -> None:
     """
     Take the room of jobs that make place, which is not free before they have stopped.
 
@@ -95,5 +97,5 @@
     :param freed: what the jobs need that make place.
     :param size: what the new job needs.
     """
-    leave_out(index, worker)
+    exclude_worker(index, worker)
     index.free[worker] = index.free[worker].plus(freed).minus(size)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement_preempt.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement_preempt.py
@@ -12,7 +12,7 @@
 # A job that has made place so often is left alone.
 MAX_PREEMPTIONS = 3
 # Workers looked at for one urgent job.
-PROBES = 256
+MAX_PROBED_WORKERS = 256
 
 
 class PreemptIndex(msgspec.Struct):
@@ -29,7 +29,7 @@
     next: int = 0
 
 
-def make_preempt_index(running: Sequence[RunningJob], fit: FitIndex) -> PreemptIndex:
+def build_preempt_index(running: Sequence[RunningJob], fit: FitIndex) -> PreemptIndex:
     """
     Sort out the jobs that may make place.
 
@@ -39,8 +39,8 @@
     """
     jobs: dict[str, list[RunningJob]] = {}
     for job in running:
-        is_able = job.can_checkpoint and not job.urgent and job.preemptions < MAX_PREEMPTIONS
-        if is_able and job.worker in fit.free:
+        is_preemptible = job.can_checkpoint and not job.urgent and job.preemptions < MAX_PREEMPTIONS
+        if is_preemptible and job.worker in fit.free:
             jobs.setdefault(job.worker, []).append(job)
     return PreemptIndex(jobs, sorted(jobs))
 
@@ -49,7 +49,7 @@
     index: PreemptIndex,
     free: Mapping[str, Size],
     size: Size,
-    may_give: Callable[[RunningJob], bool],
+    may_preempt: Callable[[RunningJob], bool],
 ) -> list[RunningJob] | None:
     """
     Find the fewest jobs of one worker that make place for an urgent one.
@@ -57,13 +57,13 @@
     :param index: jobs that may make place; what is found leaves it.
     :param free: free room by worker.
     :param size: what the urgent job needs.
-    :param may_give: tells whether a job's team has more than its share.
+    :param may_preempt: tells whether a job's team has more than its share.
     :returns: the jobs, or ``None``.
     """
     best: list[RunningJob] | None = None
-    for step in range(min(PROBES, len(index.names))):
+    for step in range(min(MAX_PROBED_WORKERS, len(index.names))):
         name = index.names[(index.next + step) % len(index.names)]
-        found = _victims_of(index.jobs[name], free[name], size, may_give)
+        found = _find_victims_on(index.jobs[name], free[name], size, may_preempt)
         if found is not None and (best is None or len(found) < len(best)):
             best = found
             if len(best) == 1:
@@ -75,21 +75,24 @@
     return best
 
 
-def _victims_of(
-    jobs: Sequence[RunningJob], room: Size, size: Size, may_give: Callable[[RunningJob], bool]
+def _find_victims_on(
+    jobs: Sequence[RunningJob],
+    available: Size,
+    size: Size,
+    may_preempt: Callable[[RunningJob], bool],
 ) -> list[RunningJob] | None:
-    able = sorted((job for job in jobs if may_give(job)), key=_cost)
-    for job in able:
-        if size.fits(room.plus(job.size)):
+    eligible = sorted((job for job in jobs if may_preempt(job)), key=_preemption_order)
+    for job in eligible:
+        if size.fits(available.plus(job.size)):
             return [job]
     chosen = []
-    for job in reversed(able):
+    for job in reversed(eligible):
         chosen.append(job)
-        room = room.plus(job.size)
-        if size.fits(room):
+        available = available.plus(job.size)
+        if size.fits(available):
             return chosen
     return None
 
 
-def _cost(job: RunningJob) -> tuple[int, float, str]:
+def _preemption_order(job: RunningJob) -> tuple[int, float, str]:
     return job.preemptions, job.size.cores, job.id
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_workers_health.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_workers_health.py
@@ -13,25 +13,25 @@
 
 import msgspec
 
-OUTCOMES_KEPT = 16
+MAX_OUTCOMES = 16
 # Chance that a broken worker fails a job.
-BROKEN_FAILS = 0.95
+BROKEN_FAILURE_RATE = 0.95
 # What is believed of a template before it was seen, as jobs and failures.
 PRIOR_JOBS = 20.0
 PRIOR_FAILURES = 1.0
 # Odds at which a worker counts as broken.
-QUARANTINE_ODDS = log(1000.0)
+QUARANTINE_LOG_ODDS = log(1000.0)
 # Failures of one template that count while it has not succeeded elsewhere.
-UNPROVEN_FAILURES = 2
+MAX_UNPROVEN_FAILURES = 2
 PROVEN_SUCCESSES = 10
 # Largest part of a pool in quarantine; more at once have another cause.
-LARGEST_PART = 0.1
-FIRST_PAUSE_S = 300.0
-LONGEST_PAUSE_S = 86_400.0
+MAX_QUARANTINED_FRACTION = 0.1
+BASE_QUARANTINE_S = 300.0
+MAX_QUARANTINE_S = 86_400.0
 TRIAL_SUCCESSES = 3
 UNPROVEN_STARTS = 2
 TRIAL_STARTS = 1
-MANY_STARTS = 1_000
+UNRESTRICTED_STARTS = 1_000
 
 
 class Outcome(NamedTuple):
@@ -45,7 +45,7 @@
     failed: bool
 
 
-class TemplateRecord(msgspec.Struct):
+class TemplateStats(msgspec.Struct):
     """
     How often jobs of a template ended, and failed, over all workers.
     """
@@ -61,17 +61,17 @@
     :param outcomes: its last outcomes.
     :param quarantined_until_s: time until which it gets no job, or ``None``.
     :param quarantines: times in a row that it was taken out.
-    :param trial_left: jobs that must succeed, one by one, before it gets its full work.
+    :param trial_jobs_left: jobs that must succeed, one by one, before it gets its full work.
     """
 
-    outcomes: deque[Outcome] = msgspec.field(default_factory=lambda: deque(maxlen=OUTCOMES_KEPT))
+    outcomes: deque[Outcome] = msgspec.field(default_factory=lambda: deque(maxlen=MAX_OUTCOMES))
     quarantined_until_s: float | None = None
     quarantines: int = 0
-    trial_left: int = 0
+    trial_jobs_left: int = 0
 
 
 def note_outcome(
-    health: WorkerHealth, templates: dict[str, TemplateRecord], outcome: Outcome
+    health: WorkerHealth, templates: dict[str, TemplateStats], outcome: Outcome
 ) -> None:
     """
     Take in how a job ended.
@@ -80,17 +80,17 @@
     :param templates: all templates, changed in place.
     :param outcome: how the job ended.
     """
-    record = templates.setdefault(outcome.template, TemplateRecord())
-    record.jobs += 1
-    record.failures += outcome.failed
+    stats = templates.setdefault(outcome.template, TemplateStats())
+    stats.jobs += 1
+    stats.failures += outcome.failed
     health.outcomes.append(outcome)
-    if health.trial_left and not outcome.failed:
-        health.trial_left -= 1
-        if health.trial_left == 0:
+    if health.trial_jobs_left and not outcome.failed:
+        health.trial_jobs_left -= 1
+        if health.trial_jobs_left == 0:
             health.quarantines = 0
 
 
-def odds_broken(health: WorkerHealth, templates: Mapping[str, TemplateRecord]) -> float:
+def log_odds_broken(health: WorkerHealth, templates: Mapping[str, TemplateStats]) -> float:
     """
     Weigh the evidence that a worker is broken.
 
@@ -98,17 +98,17 @@
     :param templates: all templates.
     :returns: logarithm of the odds against a sound worker.
     """
-    own: dict[str, TemplateRecord] = {}
+    own: dict[str, TemplateStats] = {}
     for outcome in health.outcomes:
-        record = own.setdefault(outcome.template, TemplateRecord())
-        record.jobs += 1
-        record.failures += outcome.failed
-    return sum(_weigh(record, templates[name]) for name, record in own.items())
+        stats = own.setdefault(outcome.template, TemplateStats())
+        stats.jobs += 1
+        stats.failures += outcome.failed
+    return sum(_log_likelihood_ratio(stats, templates[name]) for name, stats in own.items())
 
 
-def judge(
+def quarantine_if_broken(
     health: WorkerHealth,
-    templates: Mapping[str, TemplateRecord],
+    templates: Mapping[str, TemplateStats],
     in_quarantine: int,
     pool_size: int,
     now_s: float,
@@ -125,18 +125,20 @@
     """
     if health.quarantined_until_s is not None:
         return False
-    failed_trial = health.trial_left > 0 and bool(health.outcomes) and health.outcomes[-1].failed
-    if odds_broken(health, templates) < QUARANTINE_ODDS and not failed_trial:
+    failed_trial = (
+        health.trial_jobs_left > 0 and bool(health.outcomes) and health.outcomes[-1].failed
+    )
+    if log_odds_broken(health, templates) < QUARANTINE_LOG_ODDS and not failed_trial:
         return False
-    if in_quarantine + 1 > max(1.0, LARGEST_PART * pool_size):
+    if in_quarantine + 1 > max(1.0, MAX_QUARANTINED_FRACTION * pool_size):
         return False
-    pause_s = min(FIRST_PAUSE_S * 2**health.quarantines, LONGEST_PAUSE_S)
-    health.quarantined_until_s = now_s + pause_s
+    quarantine_s = min(BASE_QUARANTINE_S * 2**health.quarantines, MAX_QUARANTINE_S)
+    health.quarantined_until_s = now_s + quarantine_s
     health.quarantines += 1
     return True
 
 
-def release(health: WorkerHealth, now_s: float) -> bool:
+def end_quarantine(health: WorkerHealth, now_s: float) -> bool:
     """
     Put a worker on trial when its time in quarantine has passed.
 
@@ -148,7 +150,7 @@
         return False
     health.quarantined_until_s = None
     health.outcomes.clear()
-    health.trial_left = TRIAL_SUCCESSES
+    health.trial_jobs_left = TRIAL_SUCCESSES
     return True
 
 
@@ -162,21 +164,21 @@
     """
     if health.quarantined_until_s is not None:
         return 0
-    if health.trial_left:
+    if health.trial_jobs_left:
         return max(0, TRIAL_STARTS - unproven_running)
     if not health.outcomes:
         return max(0, UNPROVEN_STARTS - unproven_running)
     if health.outcomes[-1].failed:
         return max(0, TRIAL_STARTS - unproven_running)
-    return MANY_STARTS
+    return UNRESTRICTED_STARTS
 
 
-def _weigh(own: TemplateRecord, everywhere: TemplateRecord) -> float:
-    jobs, failures = everywhere.jobs - own.jobs, everywhere.failures - own.failures
+def _log_likelihood_ratio(own: TemplateStats, overall: TemplateStats) -> float:
+    jobs, failures = overall.jobs - own.jobs, overall.failures - own.failures
     rate = (failures + PRIOR_FAILURES) / (jobs + PRIOR_JOBS)
     failed = own.failures
     if jobs - failures < PROVEN_SUCCESSES:
-        failed = min(failed, UNPROVEN_FAILURES)
+        failed = min(failed, MAX_UNPROVEN_FAILURES)
     succeeded = own.jobs - own.failures
-    against = succeeded * log((1.0 - BROKEN_FAILS) / (1.0 - rate))
-    return failed * log(BROKEN_FAILS / rate) + against
+    success_evidence = succeeded * log((1.0 - BROKEN_FAILURE_RATE) / (1.0 - rate))
+    return failed * log(BROKEN_FAILURE_RATE / rate) + success_evidence
--- a/packages/eelgrassdrum-core/tests/test_config_documents.py
+++ b/packages/eelgrassdrum-core/tests/test_config_documents.py
@@ -98,7 +98,7 @@
     return {"name": document["name"], "document": document, "author": "o", "comment": ""}
 
 
-def places(text: str, parameters: str | None = None) -> list[tuple[str, int, str]]:
+def fault_locations(text: str, parameters: str | None = None) -> list[tuple[str, int, str]]:
     given = Source("p.toml", parameters) if parameters is not None else None
     faults = render(Source("w.toml", text), given).faults
     return [(fault.file, fault.line, fault.path) for fault in faults]
@@ -125,7 +125,7 @@
     text = WORKSPACE.replace("executors = 6", 'executors = "six"')
     text = text.replace("max_queued = 10\n", "max_queue = 10\n", 1)
     text = text.replace("share = 2", "share = 0").replace("limit = 8", 'limit = "8"')
-    assert places(text) == [
+    assert fault_locations(text) == [
         ("w.toml", 5, "services[0].executors"),
         ("w.toml", 8, "queues[0].max_queued"),
         ("w.toml", 12, "queues[0].max_queue"),
@@ -136,7 +136,9 @@
 
 def test_broken_toml_is_reported_with_its_line() -> None:
     """A syntax error names the line of the error."""
-    assert places(WORKSPACE.replace('name = "judging"', "name = judging")) == [("w.toml", 4, "")]
+    assert fault_locations(WORKSPACE.replace('name = "judging"', "name = judging")) == [
+        ("w.toml", 4, "")
+    ]
 
 
 def test_each_contradiction_inside_a_document_is_refused(document: dict[str, Any]) -> None:
@@ -216,15 +218,15 @@
 def test_faulty_parameters_are_found_in_the_file_that_sets_them() -> None:
     """Unknown, missing, mistyped and refused parameters each name their file and line."""
     faulty = PARAMETERS.replace('show = "rose"', 'show = "moss"\nshows = 1\nexecutors = true')
-    assert places(TEMPLATE, faulty) == [
+    assert fault_locations(TEMPLATE, faulty) == [
         ("p.toml", 4, "parameters.show"),
         ("p.toml", 5, "parameters.shows"),
         ("p.toml", 6, "parameters.executors"),
     ]
-    assert places(TEMPLATE, PARAMETERS.replace("share = 1", "share = 0")) == [
+    assert fault_locations(TEMPLATE, PARAMETERS.replace("share = 1", "share = 0")) == [
         ("p.toml", 8, "teams[0].share")
     ]
-    assert places(TEMPLATE.replace("${show}", "${who}"), "[parameters]") == [
+    assert fault_locations(TEMPLATE.replace("${show}", "${who}"), "[parameters]") == [
         ("p.toml", 1, "parameters.show"),
         ("p.toml", 1, "parameters.teams"),
         ("w.toml", 1, "name"),
@@ -235,11 +237,11 @@
     """Bounds hold for numbers and for lengths of lists, and for defaults too."""
     for setting in ("executors = 9", "executors = 3"):
         faulty = PARAMETERS.replace('show = "rose"', f'show = "rose"\n{setting}')
-        assert places(TEMPLATE, faulty) == [("p.toml", 5, "parameters.executors")]
+        assert fault_locations(TEMPLATE, faulty) == [("p.toml", 5, "parameters.executors")]
     no_teams = '[parameters]\nshow = "rose"\nteams = []'
-    assert places(TEMPLATE, no_teams) == [("p.toml", 3, "parameters.teams")]
+    assert fault_locations(TEMPLATE, no_teams) == [("p.toml", 3, "parameters.teams")]
     template = TEMPLATE.replace("default = 6", "default = 9")
-    assert places(template, PARAMETERS) == [("w.toml", 14, "parameters.executors.default")]
+    assert fault_locations(template, PARAMETERS) == [("w.toml", 14, "parameters.executors.default")]
 
 
 def test_a_boolean_is_no_number() -> None:
--- a/packages/eelgrassdrum-core/tests/test_endpoints.py
+++ b/packages/eelgrassdrum-core/tests/test_endpoints.py
@@ -24,11 +24,11 @@
     return state
 
 
-def chosen(state: State) -> str:
+def chosen_endpoint(state: State) -> str:
     """
     Give the id of the endpoint that the next attempt would go to.
     """
-    endpoint = endpoints.choose(state, SERVICE)
+    endpoint = endpoints.choose_endpoint(state, SERVICE)
     return "" if endpoint is None else endpoint.id
 
 
@@ -62,7 +62,7 @@
     """
     sender = Sender("entry-a2", 1, "a")
     reduce(state, 2.0, events.PeerReceived(sender, EndpointLeaving("ep-a1", 0)))
-    assert chosen(state) == "ep-a2"
+    assert chosen_endpoint(state) == "ep-a2"
 
 
 def test_work_needs_a_recent_sign_of_life(state: State) -> None:
@@ -74,10 +74,10 @@
     assert probed == {"ep-a1", "ep-a2"}
     for name in probed:
         reduce(state, 2.01, events.EndpointProbed(name, True))
-    state.now_s = 2.0 + endpoints.LIVE_FOR_S
-    assert chosen(state) in probed
+    state.now_s = 2.0 + endpoints.LIVENESS_TTL_S
+    assert chosen_endpoint(state) in probed
     state.now_s += 0.1
-    assert chosen(state) == ""
+    assert chosen_endpoint(state) == ""
 
 
 def test_other_zone_is_used_only_without_room_in_the_own(state: State) -> None:
@@ -85,14 +85,14 @@
     Work goes to another zone when the own endpoints are full, and the other's was seen live.
     """
     reduce(state, 1.1, events.EndpointProbed("ep-b1", True))
-    state.endpoints.endpoints["ep-b1"].live_s = 1.0
-    assert chosen(state).startswith("ep-a")
+    state.endpoints.endpoints["ep-b1"].last_healthy_probe_s = 1.0
+    assert chosen_endpoint(state).startswith("ep-a")
     for name in ("ep-a1", "ep-a2"):
         state.endpoints.endpoints[name].in_flight = 4
-    assert chosen(state) == "ep-b1"
+    assert chosen_endpoint(state) == "ep-b1"
     remote = state.endpoints.endpoints["ep-b1"]
-    remote.in_flight = remote.slots // endpoints.REMOTE_PART
-    assert chosen(state) == ""
+    remote.in_flight = remote.slots // endpoints.REMOTE_SLOT_DIVISOR
+    assert chosen_endpoint(state) == ""
 
 
 def test_fast_failures_are_not_rewarded(state: State) -> None:
@@ -102,13 +102,13 @@
     fail(state, "ep-a1", 3)
     bad = state.endpoints.endpoints["ep-a1"]
     assert bad.retry_at_s > state.now_s
-    assert chosen(state) == "ep-a2"
+    assert chosen_endpoint(state) == "ep-a2"
     state.now_s = bad.retry_at_s
     bad.in_flight = 1
     state.endpoints.endpoints["ep-a2"].in_flight = 4
-    assert chosen(state) == ""
+    assert chosen_endpoint(state) == ""
     fail(state, "ep-a1", 1)
-    assert bad.retry_at_s - state.now_s == 2 * health.EJECT_S
+    assert bad.retry_at_s - state.now_s == 2 * health.BASE_EJECTION_S
 
 
 def test_not_all_endpoints_are_ejected(state: State) -> None:
@@ -130,14 +130,14 @@
     for _ in range(health.TRIAL_ATTEMPTS):
         health.note_answer(state, "ep-a1", False, 0.1, 0.1)
     endpoint = state.endpoints.endpoints["ep-a1"]
-    assert (endpoint.trial_left, endpoint.ejections) == (0, 0)
+    assert (endpoint.trial_attempts_left, endpoint.ejections) == (0, 0)
 
 
 def test_silent_probes_take_an_endpoint_out_and_an_answer_brings_it_back(state: State) -> None:
     """
     Two probes without an answer eject; the next answer on a new connection ends that at once.
     """
-    state.endpoints.endpoints["ep-a1"].probed_s = 1.0
+    state.endpoints.endpoints["ep-a1"].last_probe_s = 1.0
     reduce(state, 1.5, events.EndpointProbed("ep-a1", False))
     reduce(state, 1.6, events.EndpointProbed("ep-a1", False))
     assert state.endpoints.endpoints["ep-a1"].retry_at_s > 1.6
@@ -154,7 +154,7 @@
     for name in ("ep-a1", "ep-a2"):
         state.endpoints.endpoints[name].in_flight = 4
     state.endpoints.endpoints["ep-a3"].in_flight = 1
-    assert chosen(state) == ""
+    assert chosen_endpoint(state) == ""
     state.now_s = 20.0 + endpoints.SLOW_START_S
-    state.endpoints.endpoints["ep-a3"].live_s = state.now_s
-    assert chosen(state) == "ep-a3"
+    state.endpoints.endpoints["ep-a3"].last_healthy_probe_s = state.now_s
+    assert chosen_endpoint(state) == "ep-a3"
--- a/packages/eelgrassdrum-core/tests/test_placement.py
+++ b/packages/eelgrassdrum-core/tests/test_placement.py
@@ -4,18 +4,18 @@
 
 import random
 
-from eelgrassdrum_core._jobs import NOTHING, RunningJob, Size, TeamUse, WaitingJob, Worker
-from eelgrassdrum_core._jobs_usage import ENOUGH_SAMPLES, UsageHistory, estimate, note_usage
+from eelgrassdrum_core._jobs import ZERO_SIZE, RunningJob, Size, TeamUsage, WaitingJob, Worker
+from eelgrassdrum_core._jobs_usage import MIN_SAMPLES, UsageHistory, estimate, note_usage
 from eelgrassdrum_core._placement import Placement, place_jobs
 from eelgrassdrum_core._workers_health import (
-    FIRST_PAUSE_S,
+    BASE_QUARANTINE_S,
     TRIAL_SUCCESSES,
     Outcome,
-    TemplateRecord,
+    TemplateStats,
     WorkerHealth,
-    judge,
+    end_quarantine,
     note_outcome,
-    release,
+    quarantine_if_broken,
     starts_allowed,
 )
 
@@ -25,27 +25,27 @@
 FIXTURES: dict = {}
 
 
-def team(name: str, *, share: float = 1.0, limit: int = 100, used: Size = NOTHING) -> TeamUse:
+def team(name: str, *, share: float = 1.0, limit: int = 100, used: Size = ZERO_SIZE) -> TeamUsage:
     """
     Describe a team whose jobs are all small.
     """
-    return TeamUse(name, share, limit, round(used.cores / SMALL.cores), used)
+    return TeamUsage(name, share, limit, round(used.cores / SMALL.cores), used)
 
 
-def over_committed(
+def overcommitted_workers(
     plan: Placement, waiting: list[WaitingJob], running: list[RunningJob], workers: list[Worker]
 ) -> list[str]:
     """
     Name the workers on which a plan puts more than they hold.
     """
     sizes = {job.id: job.size for job in waiting}
-    places = {job.id: job for job in running}
+    running_by_id = {job.id: job for job in running}
     used = {worker.id: worker.used for worker in workers}
     for start in plan.starts:
         used[start.worker] = used[start.worker].plus(sizes[start.job])
         for name in start.preempts:
-            assert places[name].worker == start.worker
-            used[start.worker] = used[start.worker].minus(places[name].size)
+            assert running_by_id[name].worker == start.worker
+            used[start.worker] = used[start.worker].minus(running_by_id[name].size)
     return [worker.id for worker in workers if not used[worker.id].fits(worker.capacity)]
 
 
@@ -61,7 +61,7 @@
             Worker(f"w{n}", "r", SHAPE, Size(12.0, 24.0), rng.randrange(4)) for n in range(6)
         ]
         teams = [
-            TeamUse(name, 1.0, count + 2, count, Size(4.0 * count, 8.0 * count))
+            TeamUsage(name, 1.0, count + 2, count, Size(4.0 * count, 8.0 * count))
             for name, count in used.items()
         ]
         waiting = [
@@ -69,7 +69,7 @@
             for n in range(20)
         ]
         plan = place_jobs(waiting, running, workers, teams)
-        assert over_committed(plan, waiting, running, workers) == []
+        assert overcommitted_workers(plan, waiting, running, workers) == []
         owners = {job.id: job.team for job in waiting} | {job.id: job.team for job in running}
         for item in teams:
             started = sum(owners[start.job] == item.name for start in plan.starts)
@@ -82,17 +82,17 @@
 def test_the_check_of_room_sees_a_worker_that_is_too_full() -> None:
     """If a plan put two large jobs on one worker, the check would say so."""
     waiting = [WaitingJob(f"q{n}", "a", Size(12.0, 8.0)) for n in range(2)]
-    workers = [Worker("w0", "r", SHAPE, NOTHING, 9)]
+    workers = [Worker("w0", "r", SHAPE, ZERO_SIZE, 9)]
     plan = place_jobs(waiting, [], workers, [team("a")])
     assert len(plan.starts) == 1
     doubled = plan._replace(starts=plan.starts * 2)
-    assert over_committed(doubled, waiting, [], workers) == ["w0"]
+    assert overcommitted_workers(doubled, waiting, [], workers) == ["w0"]
 
 
 def test_the_fleet_is_shared_by_weight() -> None:
     """Of two teams that could each fill the fleet, the one of twice the weight gets twice."""
     waiting = [WaitingJob(f"{name}{n}", name, SMALL) for n in range(60) for name in "ab"]
-    workers = [Worker(f"w{n}", "r", SHAPE, NOTHING, 9) for n in range(9)]
+    workers = [Worker(f"w{n}", "r", SHAPE, ZERO_SIZE, 9) for n in range(9)]
     plan = place_jobs(waiting, [], workers, [team("a", share=2.0), team("b")])
     assert len(plan.starts) == 36
     assert sum(start.job.startswith("a") for start in plan.starts) == 24
@@ -162,21 +162,21 @@
     """The declared size counts until enough jobs were seen, and then no more."""
     history, declared = UsageHistory(), Size(30.0, 90.0, 2.0)
     assert estimate(None, declared) == declared
-    for number in range(ENOUGH_SAMPLES):
+    for number in range(MIN_SAMPLES):
         assert estimate(history, declared) == declared
         note_usage(history, Size(10.0, 20.0 + number))
     assert estimate(history, declared) == Size(10.0, 24.0, 2.0)
 
 
 def fail(
-    health: WorkerHealth, templates: dict[str, TemplateRecord], names: list[str], now_s: float
+    health: WorkerHealth, templates: dict[str, TemplateStats], names: list[str], now_s: float
 ) -> int:
     """
     Fail jobs at a worker until it is taken out, and count them.
     """
     for number, name in enumerate(names, start=1):
         note_outcome(health, templates, Outcome(name, True))
-        if judge(health, templates, 0, 40, now_s):
+        if quarantine_if_broken(health, templates, 0, 40, now_s):
             return number
     return 0
 
@@ -187,12 +187,12 @@
     assert starts_allowed(health, 2) == 0
     assert 0 < fail(health, templates, ["t1", "t2", "t3", "t4", "t5"], 0.0) <= 5
     assert starts_allowed(health, 0) == 0
-    assert not release(health, FIRST_PAUSE_S - 1.0)
-    assert release(health, FIRST_PAUSE_S)
+    assert not end_quarantine(health, BASE_QUARANTINE_S - 1.0)
+    assert end_quarantine(health, BASE_QUARANTINE_S)
     assert (starts_allowed(health, 0), starts_allowed(health, 1)) == (1, 0)
-    assert fail(health, templates, ["t1"], FIRST_PAUSE_S) == 1
-    assert not release(health, FIRST_PAUSE_S * 2.9)
-    assert release(health, FIRST_PAUSE_S * 3.0)
+    assert fail(health, templates, ["t1"], BASE_QUARANTINE_S) == 1
+    assert not end_quarantine(health, BASE_QUARANTINE_S * 2.9)
+    assert end_quarantine(health, BASE_QUARANTINE_S * 3.0)
     for _ in range(TRIAL_SUCCESSES):
         note_outcome(health, templates, Outcome("t1", False))
     assert starts_allowed(health, 5) > 5
@@ -200,14 +200,14 @@
 
 def test_a_bad_template_takes_no_worker_out() -> None:
     """A template that fails everywhere is no evidence, and many suspects at once are not either."""
-    templates: dict[str, TemplateRecord] = {}
+    templates: dict[str, TemplateStats] = {}
     workers = [WorkerHealth() for _ in range(40)]
     for _ in range(6):
         for health in workers:
             note_outcome(health, templates, Outcome("bad", True))
-            assert not judge(health, templates, 0, 40, 0.0)
+            assert not quarantine_if_broken(health, templates, 0, 40, 0.0)
     suspect = WorkerHealth()
     for name in ("t1", "t2", "t3", "t4", "t5"):
         note_outcome(suspect, templates, Outcome(name, True))
-    assert not judge(suspect, templates, 4, 40, 0.0)
-    assert judge(suspect, templates, 3, 40, 0.0)
+    assert not quarantine_if_broken(suspect, templates, 4, 40, 0.0)
+    assert quarantine_if_broken(suspect, templates, 3, 40, 0.0)
--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/bench/_bench_overload.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/bench/_bench_overload.py
@@ -106,13 +106,13 @@
         return run_load(SEED, TENFOLD, SECONDS)
 
 
-_room = endpoints._room
+_max_in_flight = endpoints._max_in_flight
 
 
 def _room_of_equal_parts(state: State, endpoint: Endpoint, own_zone: str, oldest_s: float) -> int:
     instances = 1 + len(membership.zone_peers(state))
     part = max(1, endpoint.slots // instances)
-    return min(part, _room(state, endpoint, own_zone, oldest_s))
+    return min(part, _max_in_flight(state, endpoint, own_zone, oldest_s))
 
 
 def _break_endpoints(world: World) -> None:
--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/bench/_bench_placement.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/bench/_bench_placement.py
@@ -10,15 +10,15 @@
 
 import msgspec
 
-from eelgrassdrum_core._jobs import NOTHING, RunningJob, Size, TeamUse, WaitingJob, Worker
+from eelgrassdrum_core._jobs import ZERO_SIZE, RunningJob, Size, TeamUsage, WaitingJob, Worker
 from eelgrassdrum_core._jobs_usage import UsageHistory, estimate, note_usage
 from eelgrassdrum_core._placement import place_jobs
 from eelgrassdrum_core._workers_health import (
     Outcome,
-    TemplateRecord,
+    TemplateStats,
     WorkerHealth,
-    judge,
     note_outcome,
+    quarantine_if_broken,
     starts_allowed,
 )
 
@@ -70,7 +70,7 @@
     """
 
     workers: list[Worker]
-    teams: list[TeamUse]
+    teams: list[TeamUsage]
     jobs: list[Job]
     histories: dict[str, UsageHistory]
 
@@ -86,7 +86,7 @@
     rng = random.Random(seed)
     shape = Size(scenario.worker.cores, scenario.worker.memory_gb, 0.0)
     workers = [
-        Worker(f"w{n}", f"r{n // scenario.workers_per_rack}", shape, NOTHING, 1000)
+        Worker(f"w{n}", f"r{n // scenario.workers_per_rack}", shape, ZERO_SIZE, 1000)
         for n in range(scenario.workers)
     ]
     templates = [_make_template(rng, n, shape) for n in range(TEMPLATES)]
@@ -95,7 +95,7 @@
         for _ in range(HISTORY):
             note_usage(histories[template.name], _spread(rng, template.true))
     teams = [
-        TeamUse(f"{space.id}/{team.id}", space.weight * team.weight, 1_000_000, 0, NOTHING)
+        TeamUsage(f"{space.id}/{team.id}", space.weight * team.weight, 1_000_000, 0, ZERO_SIZE)
         for space in scenario.workspaces
         for team in space.teams
     ]
@@ -147,7 +147,7 @@
     :returns: part of the scarcest resource that does work, which no placement brings above 1, and
         part of the workers whose memory is not enough.
     """
-    used: dict[str, Size] = {worker.id: NOTHING for worker in fleet.workers}
+    used: dict[str, Size] = {worker.id: ZERO_SIZE for worker in fleet.workers}
     for job in fleet.jobs:
         if job.id in placed:
             used[placed[job.id]] = used[placed[job.id]].plus(job.true)
@@ -247,7 +247,7 @@
     rng = random.Random(SEED)
     names = [f"w{n}" for n in range(scenario.workers)]
     health = {name: WorkerHealth() for name in names}
-    templates: dict[str, TemplateRecord] = {}
+    templates: dict[str, TemplateStats] = {}
     taken: Counter[str] = Counter()
     for turn in range(60):
         for name in names:
@@ -262,20 +262,20 @@
                 taken[name] += 1
                 note_outcome(health[name], templates, Outcome(template, failed))
                 out = sum(item.quarantined_until_s is not None for item in health.values())
-                judge(health[name], templates, out, len(names), float(turn))
+                quarantine_if_broken(health[name], templates, out, len(names), float(turn))
     wrong = [n for n in names if health[n].quarantined_until_s is not None]
     return taken["w0"], len([n for n in wrong if not (bad_worker and n == "w0")])
 
 
 def _large(
     count: int, teams: int
-) -> tuple[list[Worker], list[TeamUse], list[WaitingJob], list[RunningJob]]:
+) -> tuple[list[Worker], list[TeamUsage], list[WaitingJob], list[RunningJob]]:
     rng = random.Random(SEED)
     shape = Size(64.0, 256.0, 2.0)
-    uses = {f"t{n}": TeamUse(f"t{n}", 1.0, 1000, 0, NOTHING) for n in range(teams)}
+    uses = {f"t{n}": TeamUsage(f"t{n}", 1.0, 1000, 0, ZERO_SIZE) for n in range(teams)}
     workers, running = [], []
     for number in range(count):
-        used = NOTHING
+        used = ZERO_SIZE
         for slot in range(4):
             size = Size(rng.uniform(8, 16), rng.uniform(20, 64), 0.0)
             job = RunningJob(f"j{number}-{slot}", f"t{rng.randrange(teams)}", f"w{number}", size)
@@ -300,7 +300,7 @@
 
 
 def _make_jobs(
-    rng: random.Random, teams: list[TeamUse], templates: list[Template], cores: float
+    rng: random.Random, teams: list[TeamUsage], templates: list[Template], cores: float
 ) -> list[Job]:
     jobs: list[Job] = []
     for team in teams:
@@ -346,7 +346,7 @@
     return worker._replace(used=used)
 
 
-def _used(team: TeamUse, running: list[RunningJob]) -> TeamUse:
+def _used(team: TeamUsage, running: list[RunningJob]) -> TeamUsage:
     used, count = team.used, 0
     for job in running:
         if job.team == team.name:
