--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/bench/_bench_overload.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/bench/_bench_overload.py
@@ -59,7 +59,7 @@
     Compare the free use of slots with equal parts of them, at 0.9 of capacity.
     """
     free = run_load(SEED, ONCE, SECONDS)
-    with patch.object(endpoints, "_room", _room_of_equal_parts):
+    with patch.object(endpoints, "_max_in_flight", _room_of_equal_parts):
         equal = run_load(SEED, ONCE, SECONDS)
     yield measure(
         "slots_goodput_against_equal",
