--- a/packages/eelgrassdrum-core/tests/test_config_documents.py
+++ b/packages/eelgrassdrum-core/tests/test_config_documents.py
@@ -244,7 +244,7 @@
     assert fault_locations(template, PARAMETERS) == [("w.toml", 14, "parameters.executors.default")]
 
 
-def test_a_boolean_is_no_number() -> None:
+def test_boolean_is_rejected_as_a_number() -> None:
     """A value of another type is refused for its type, whatever bounds there are."""
     template = TEMPLATE.replace("min = 4\n", "")
     faulty = PARAMETERS.replace('show = "rose"', 'show = "rose"\nexecutors = true')
@@ -252,7 +252,7 @@
     assert "is not of the type int" in fault.message
 
 
-def test_a_list_is_no_part_of_a_string() -> None:
+def test_list_parameter_cannot_be_part_of_a_string() -> None:
     """A list can be used whole only."""
     template = TEMPLATE.replace("${show}-show", "${show}-${teams}")
     [fault] = render(Source("t.toml", template), Source("p.toml", PARAMETERS)).faults
@@ -260,7 +260,7 @@
     assert "cannot be part of a string" in fault.message
 
 
-def test_the_decoder_refuses_whatever_is_no_document(document: dict[str, Any]) -> None:
+def test_decoder_rejects_invalid_bodies(document: dict[str, Any]) -> None:
     """Bodies of any shape are refused without an exception."""
     good = body(document)
     bad: list[Any] = [None, [], "x", {}, {**good, "name": "fern"}, {**good, "extra": 1}]
@@ -270,7 +270,7 @@
         assert isinstance(decode_document(item), list), item
 
 
-def test_a_grant_must_fit_its_workspace(document: dict[str, Any]) -> None:
+def test_grant_must_match_its_workspace(document: dict[str, Any]) -> None:
     """A key is granted to a known team for keyed queues only."""
     grant = {"key_id": "k1", "workspace": "rose", "team": "judges", "digest": "0" * 64}
     for team, queues, paths in (
--- a/packages/eelgrassdrum-core/tests/test_endpoints.py
+++ b/packages/eelgrassdrum-core/tests/test_endpoints.py
@@ -43,7 +43,7 @@
 FIXTURES = {"state": make_state}
 
 
-def test_leaving_is_believed_until_a_newer_incarnation(state: State) -> None:
+def test_leaving_state_lasts_until_a_newer_incarnation(state: State) -> None:
     """
     After a refusal that says leaving, a list that still says live changes nothing; a newer
     incarnation in the list does.
@@ -56,7 +56,7 @@
     assert not state.endpoints.endpoints["ep-a1"].leaving
 
 
-def test_news_of_a_peer_is_believed(state: State) -> None:
+def test_endpoint_leaving_is_accepted_from_a_peer(state: State) -> None:
     """
     An endpoint that a peer saw leaving gets no new work.
     """
@@ -65,7 +65,7 @@
     assert chosen_endpoint(state) == "ep-a2"
 
 
-def test_work_needs_a_recent_sign_of_life(state: State) -> None:
+def test_new_work_needs_a_recent_healthy_probe(state: State) -> None:
     """
     An endpoint whose probes show nothing any more gets no new work.
     """
@@ -80,7 +80,7 @@
     assert chosen_endpoint(state) == ""
 
 
-def test_other_zone_is_used_only_without_room_in_the_own(state: State) -> None:
+def test_other_zone_is_used_only_when_the_local_zone_is_full(state: State) -> None:
     """
     Work goes to another zone when the own endpoints are full, and the other's was seen live.
     """
@@ -95,7 +95,7 @@
     assert chosen_endpoint(state) == ""
 
 
-def test_fast_failures_are_not_rewarded(state: State) -> None:
+def test_fast_failing_endpoint_is_ejected(state: State) -> None:
     """
     An endpoint that fails everything at once is taken out, and tried with one attempt at a time.
     """
@@ -133,7 +133,7 @@
     assert (endpoint.trial_attempts_left, endpoint.ejections) == (0, 0)
 
 
-def test_silent_probes_take_an_endpoint_out_and_an_answer_brings_it_back(state: State) -> None:
+def test_failed_probes_eject_an_endpoint_until_a_healthy_probe(state: State) -> None:
     """
     Two probes without an answer eject; the next answer on a new connection ends that at once.
     """
--- a/packages/eelgrassdrum-core/tests/test_placement.py
+++ b/packages/eelgrassdrum-core/tests/test_placement.py
@@ -49,7 +49,7 @@
     return [worker.id for worker in workers if not used[worker.id].fits(worker.capacity)]
 
 
-def test_no_worker_gets_more_than_it_holds_and_no_team_more_than_its_limit() -> None:
+def test_plan_respects_worker_capacity_and_team_limits() -> None:
     """Whatever waits and runs, a plan fits the workers and the teams' limits."""
     rng = random.Random(5)
     for _ in range(60):
@@ -79,7 +79,7 @@
         assert len(victims) == len(set(victims))
 
 
-def test_the_check_of_room_sees_a_worker_that_is_too_full() -> None:
+def test_overcommitted_workers_reports_a_full_worker() -> None:
     """If a plan put two large jobs on one worker, the check would say so."""
     waiting = [WaitingJob(f"q{n}", "a", Size(12.0, 8.0)) for n in range(2)]
     workers = [Worker("w0", "r", SHAPE, ZERO_SIZE, 9)]
@@ -98,7 +98,7 @@
     assert sum(start.job.startswith("a") for start in plan.starts) == 24
 
 
-def test_jobs_that_can_never_run_are_told_why() -> None:
+def test_unplaceable_jobs_are_parked_with_a_reason() -> None:
     """Too large, no limit and no team are parked with their reasons; a full fleet parks nothing."""
     waiting = [
         WaitingJob("large", "a", Size(17.0, 1.0)),
@@ -118,7 +118,7 @@
     assert plan.starts == ()
 
 
-def test_urgent_work_takes_the_place_of_what_can_go_on_later() -> None:
+def test_urgent_job_preempts_only_a_preemptible_job() -> None:
     """An urgent job stops one that can go on later, and none that is urgent or can't."""
     running = [
         RunningJob("own", "a", "w0", SMALL, urgent=True),
@@ -133,7 +133,7 @@
     assert plan.starts == (("u0", "w0", ("soft",)),)
 
 
-def test_urgent_work_leaves_other_teams_their_share() -> None:
+def test_preemption_leaves_other_teams_their_share() -> None:
     """A team that has no more than its share keeps its jobs, and the urgent one's own give way."""
     running = [
         RunningJob(f"{name}{n}", name, f"w{n % 2}", SMALL) for n in range(4) for name in "ab"
@@ -146,7 +146,7 @@
     assert [name[0] for name in start.preempts] == ["a"]
 
 
-def test_a_large_job_gets_a_worker_kept_free() -> None:
+def test_worker_is_reserved_for_a_large_job() -> None:
     """Small jobs don't fill the last worker while a large one has waited long."""
     workers = [Worker("w0", "r", SHAPE, SMALL, 9)]
     waiting = [
@@ -158,7 +158,7 @@
     assert len(place_jobs(fresh, [], workers, [team("a"), team("b")]).starts) == 1
 
 
-def test_sizes_are_learned_from_use() -> None:
+def test_sizes_are_estimated_from_usage() -> None:
     """The declared size counts until enough jobs were seen, and then no more."""
     history, declared = UsageHistory(), Size(30.0, 90.0, 2.0)
     assert estimate(None, declared) == declared
@@ -181,7 +181,7 @@
     return 0
 
 
-def test_a_worker_that_fails_everything_is_taken_out_and_tried_again() -> None:
+def test_failing_worker_is_quarantined_and_put_on_trial() -> None:
     """It fails few jobs, then gets none, then one at a time, and longer pauses when it fails."""
     health, templates = WorkerHealth(), {}
     assert starts_allowed(health, 2) == 0
@@ -198,7 +198,7 @@
     assert starts_allowed(health, 5) > 5
 
 
-def test_a_bad_template_takes_no_worker_out() -> None:
+def test_bad_template_quarantines_no_worker() -> None:
     """A template that fails everywhere is no evidence, and many suspects at once are not either."""
     templates: dict[str, TemplateStats] = {}
     workers = [WorkerHealth() for _ in range(40)]
