--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config.py
@@ -1,5 +1,5 @@
 """
-Documents in force: services, queues, teams and pools by their full names.
+Configuration documents in force: services, queues, teams and pools by qualified name.
 """
 
 from typing import Any, NamedTuple, TypeVar, cast
@@ -13,7 +13,7 @@
 
 T = TypeVar("T")
 
-# Earlier revisions kept per document, for history and rollback.
+# Revisions kept per document, for history and rollback.
 MAX_REVISIONS = 20
 
 REASON_INVALID = "invalid_document"
@@ -25,8 +25,8 @@
     A service that endpoints run.
 
     :param name: ``WORKSPACE/SERVICE``.
-    :param executors: endpoints that it should have.
-    :param max_unavailable: endpoints that may be down at once.
+    :param executors: number of endpoints that the service should have.
+    :param max_unavailable: number of endpoints that may be down at the same time.
     :param shared: whether other workspaces may use it.
     """
 
@@ -41,13 +41,14 @@
     A queue that callers send requests to.
 
     :param name: ``WORKSPACE/QUEUE``.
-    :param workspace: its workspace.
+    :param workspace: workspace that defines the queue.
     :param service: ``WORKSPACE/SERVICE`` that runs its requests.
-    :param keyed: whether a key is needed.
-    :param max_queued: requests that may wait at one entry instance.
-    :param max_bytes: bytes of bodies that may wait at one entry instance.
-    :param max_wait_s: seconds that a request may wait.
-    :param max_run_s: seconds that a request may run.
+    :param keyed: whether a request needs a key.
+    :param max_queued: maximum number of requests waiting at one entry instance.
+    :param max_bytes: maximum total body size of the requests waiting at one entry instance,
+        in bytes.
+    :param max_wait_s: maximum time that a request waits, in seconds.
+    :param max_run_s: maximum time that a request runs, in seconds.
     """
 
     name: str
@@ -62,14 +63,15 @@
 
 class Team(NamedTuple):
     """
-    A team and what it may use.
+    A team and its resource entitlements.
 
     :param name: ``WORKSPACE/TEAM``.
-    :param workspace: its workspace.
-    :param share: weight when the fleet is full.
-    :param limit: units that it may run at once over the whole fleet.
-    :param reserved: units kept for it.
-    :param grace_s: seconds that its keys go on in a zone that can't hear of withdrawals.
+    :param workspace: workspace that defines the team.
+    :param share: weight of the team when the fleet is full.
+    :param limit: upper limit of units that the team runs at once across the fleet.
+    :param reserved: units reserved for the team.
+    :param grace_s: time for which the team's keys stay valid in a zone that can't receive key
+        withdrawals, in seconds.
     """
 
     name: str
@@ -82,11 +84,11 @@
 
 class DocumentRevision(NamedTuple):
     """
-    One accepted document.
+    One accepted revision of a document.
 
-    :param offset: its place in the log, which is its revision.
-    :param author: the operator.
-    :param comment: the operator's words.
+    :param offset: offset of the record in the log, which is the revision number.
+    :param author: the operator who published it.
+    :param comment: the operator's comment.
     :param document: the rendered document.
     """
 
@@ -98,7 +100,7 @@
 
 class ConfigFold(msgspec.Struct):
     """
-    Documents as decided by the log, with what is worked out from them.
+    Documents accepted from the log, and the objects derived from them.
     """
 
     documents: dict[str, list[DocumentRevision]] = msgspec.field(default_factory=dict)
@@ -110,10 +112,10 @@
 
 def qualify(workspace: str, name: str) -> str:
     """
-    Give the full name of something in a workspace.
+    Return the qualified name of an object in a workspace.
 
-    :param workspace: the workspace whose document names it.
-    :param name: ``NAME``, or already ``WORKSPACE/NAME``.
+    :param workspace: the workspace whose document contains the name.
+    :param name: ``NAME``, or an already qualified ``WORKSPACE/NAME``.
     :returns: ``WORKSPACE/NAME``.
     """
     return name if "/" in name else f"{workspace}/{name}"
@@ -121,12 +123,12 @@
 
 def apply_document(config: ConfigFold, offset: int, record: Record) -> str:
     """
-    Put a published document in force.
+    Apply a published document.
 
     :param config: changed in place.
-    :param offset: the record's place in the log.
+    :param offset: offset of the record in the log.
     :param record: a ``document.published`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason for rejection, or an empty string when the document is accepted.
     """
     document = decode_document(record.body)
     if isinstance(document, list) or record.subject != f"document/{document['name']}":
@@ -151,9 +153,9 @@
     config: ConfigFold, name: str, services: dict[str, Service], queues: dict[str, Queue]
 ) -> bool:
     """
-    Tell whether a queue would use a service of the fleet that is not there or not shared.
+    Return whether a queue references a fleet service that is missing or not shared.
 
-    A new document of the fleet is held against the queues of each workspace.
+    A new fleet document is checked against the queues of every workspace.
     """
     offered = services if name == FLEET else config.services
     used = config.queues if name == FLEET else queues
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_checks.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_checks.py
@@ -1,5 +1,5 @@
 """
-Checks that look at more than one field of a document, or at several documents.
+Consistency checks across fields of a document and across documents.
 """
 
 from collections import Counter, defaultdict
@@ -11,31 +11,31 @@
 from ._config_schema import FLEET, Document, Pool, PoolSize, Queue, Service, Team
 
 Finding = tuple[Path, str]
-"""Where a fault stands in its document, and what it is."""
+"""The path of a fault in its document, and the message."""
 
 _FLEET_PREFIX = f"{FLEET}/"
 
 _ROUNDING_TOLERANCE = 1e-9
-"""Keeps a fraction such as 0.3 of 10 from being rounded down to 2."""
+"""Added before rounding down, so that floating-point error can't turn 0.3 of 10 into 2."""
 
 
 def max_unavailable_count(fraction: float, executors: int) -> int:
     """
-    Turn an availability budget into a count.
+    Convert an availability budget from a fraction to a count.
 
-    :param fraction: the part of a service that may be down.
-    :param executors: the executors of the service.
-    :returns: how many executors may be down, rounded down.
+    :param fraction: fraction of a service's executors that may be down at once.
+    :param executors: number of executors of the service.
+    :returns: number of executors that may be down at once, rounded down.
     """
     return floor(fraction * executors + _ROUNDING_TOLERANCE)
 
 
 def check_document(document: Document) -> Iterator[Finding]:
     """
-    Check one document as far as it can be checked alone.
+    Check the consistency of one document without reference to others.
 
-    :param document: a document of the right shape with defaults filled in.
-    :returns: each fault.
+    :param document: a document that matches the schema, with defaults filled in.
+    :returns: an iterator over all faults.
     """
     fields = cast(Mapping[str, list[Any]], document)
     for field in ("services", "pools", "queues", "teams", "operators"):
@@ -51,10 +51,10 @@
 
 def check_across(documents: Mapping[str, Document]) -> Iterator[tuple[str, Path, str]]:
     """
-    Check what documents say of each other.
+    Check the references between documents.
 
     :param documents: rendered documents by name.
-    :returns: the document's name, the path in it and the fault, for each fault.
+    :returns: an iterator over the document name, path and message of each fault.
     """
     fleet = documents.get(FLEET)
     for name, document in documents.items():
@@ -68,7 +68,7 @@
     seen: set[str] = set()
     for position, name in enumerate(names):
         if name in seen:
-            yield (field, position, "name"), f"the name {name!r} is used twice"
+            yield (field, position, "name"), f"duplicate name {name!r}"
         seen.add(name)
 
 
@@ -82,28 +82,28 @@
         yield from ((path, message) for message in _check_budget(service, sizes))
         max_instances = sum(size["max"] for size in sizes)
         if sizes and max_instances < service["executors"]:
-            message = f"its pools hold {max_instances} instances at most, fewer than its executors"
+            message = f"exceeds the maximum total size of the pools, {max_instances} instances"
             yield (*path, "executors"), message
 
 
 def _check_budget(service: Service, sizes: list[PoolSize]) -> Iterator[str]:
     """
-    Check that a budget keeps something up and lets something be maintained.
+    Check that an availability budget keeps an executor up and still permits maintenance.
 
-    A service without pools in its document gets the benefit of the doubt, since another document
-    may hold them.
+    Whether pools can grow is not checked for a service without pools in its document, since
+    another document may define them.
     """
     if "max_unavailable" not in service:
-        yield "give availability_budget or max_unavailable"
+        yield "either availability_budget or max_unavailable is required"
         return
     count = service["max_unavailable"]
     if count != _budget_count(service, count):
-        yield f"availability_budget and max_unavailable = {count} differ"
+        yield f"availability_budget and max_unavailable = {count} are inconsistent"
     if count >= service["executors"]:
-        yield f"all {service['executors']} executors may be down at once: not a budget"
+        yield f"the budget allows all {service['executors']} executors to be down at once"
     can_grow = any(size["max"] > size["target"] for size in sizes)
     if count == 0 and sizes and not can_grow:
-        yield "nothing may be down and no pool can grow, so no instance could be maintained"
+        yield "no executor may be down and no pool can grow, so maintenance is impossible"
 
 
 def _budget_count(service: Service, otherwise: int) -> int:
@@ -118,30 +118,30 @@
         path: Path = ("pools", position)
         size = pool["size"]
         if not size["min"] <= size["target"] <= size["max"]:
-            yield (*path, "size"), "min, target and max must not fall"
+            yield (*path, "size"), "must satisfy min <= target <= max"
         if pool["role"] == "endpoint" and not pool["spare"] and not pool["service"]:
-            yield (*path, "service"), "an endpoint pool that is not spare needs a service"
+            yield (*path, "service"), "an endpoint pool that is not spare requires a service"
         if pool["spare"] and spares[pool["role"]] > 1:
-            yield (*path, "spare"), f"more than one spare pool of the role {pool['role']!r}"
+            yield (*path, "spare"), f"more than one spare pool with role {pool['role']!r}"
 
 
 def _check_queues(queues: list[Queue]) -> Iterator[Finding]:
     for position, queue in enumerate(queues):
         if queue["max_bytes"] < queue["max_queued"]:
-            message = f"cannot hold max_queued = {queue['max_queued']} requests of one byte"
+            message = f"must be at least max_queued = {queue['max_queued']}, one byte per request"
             yield ("queues", position, "max_bytes"), message
 
 
 def _check_teams(teams: list[Team]) -> Iterator[Finding]:
     for position, team in enumerate(teams):
         if team["reserved"] > team["limit"]:
-            message = f"{team['reserved']} is above the team's limit of {team['limit']}"
+            message = f"{team['reserved']} exceeds the team's limit of {team['limit']}"
             yield ("teams", position, "reserved"), message
 
 
 def _check_references(document: Document) -> Iterator[Finding]:
     """
-    Check references to services of the same document.
+    Check references to services defined in the same document.
     """
     fields = cast(Mapping[str, list[Any]], document)
     known = {service["name"] for service in fields["services"]}
@@ -158,17 +158,17 @@
 def _check_fleet(document: Document) -> Iterator[Finding]:
     fields = cast(Mapping[str, list[Any]], document)
     yield from (
-        (("zones", position), f"the zone {zone!r} is named twice")
+        (("zones", position), f"duplicate zone {zone!r}")
         for position, zone in enumerate(fields["zones"])
         if zone in fields["zones"][:position]
     )
     if not any(cast(Mapping[str, float], fields["measures"]).values()):
-        yield ("measures",), "one weight at least must be above 0"
+        yield ("measures",), "at least one weight must be greater than 0"
 
 
 def _check_fleet_references(document: Document, fleet: Document) -> Iterator[Finding]:
     """
-    Check references from a workspace to services of the fleet.
+    Check references from a workspace's document to services in the fleet's document.
     """
     fields = cast(Mapping[str, list[Any]], document)
     shared = {service["name"]: service["shared"] for service in fleet["services"]}
@@ -178,6 +178,6 @@
                 continue
             name = entry["service"].removeprefix(_FLEET_PREFIX)
             if name not in shared:
-                yield (field, position, "service"), f"no service {name!r} in the fleet"
+                yield (field, position, "service"), f"no service {name!r} in the fleet document"
             elif not shared[name]:
-                yield (field, position, "service"), f"the fleet's service {name!r} is not shared"
+                yield (field, position, "service"), f"fleet service {name!r} is not shared"
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_lines.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_lines.py
@@ -1,5 +1,5 @@
 """
-Finds the line on which each value of a TOML text stands, which `tomllib` does not tell.
+Maps the values of a TOML text to line numbers, which `tomllib` does not report.
 """
 
 import re
@@ -8,14 +8,14 @@
 from typing import Any, NamedTuple
 
 Path = tuple[str | int, ...]
-"""Keys and list positions that lead from the top of a document to a value."""
+"""Keys and list indexes from the root of a document to a value."""
 
 _SYNTAX_ERROR_LINE = re.compile(r"\(at line (\d+), column \d+\)")
 
 
 class Source(NamedTuple):
     """
-    A text and the name of the file that it came from.
+    A TOML text and the name of its file.
     """
 
     file: str
@@ -24,9 +24,9 @@
 
 class Fault(NamedTuple):
     """
-    Something wrong with a document: where it stands and why it is refused.
+    A fault in a document: its location and the reason for rejection.
 
-    ``line`` is 0 when the document did not come from a file.
+    ``line`` is 0 when the document was not read from a file.
     """
 
     file: str
@@ -37,7 +37,7 @@
 
 class Statement(NamedTuple):
     """
-    One table header or one assignment, and the line on which it starts.
+    One table header or one assignment, and the line where it starts.
     """
 
     line: int
@@ -46,9 +46,9 @@
 
 def dotted(path: Path) -> str:
     """
-    Write a path the way that operators read it.
+    Format a path for error messages.
 
-    :param path: keys and list positions.
+    :param path: keys and list indexes.
     :returns: for example ``services[0].executors``.
     """
     text = ""
@@ -65,7 +65,7 @@
     Parse a TOML text.
 
     :param source: the text and its file.
-    :returns: the tables, or where the syntax is broken.
+    :returns: the parsed tables, or a fault with the location of the syntax error.
     """
     try:
         return tomllib.loads(source.text)
@@ -73,15 +73,15 @@
         found = _SYNTAX_ERROR_LINE.search(str(exc))
         line = int(found[1]) if found else len(source.text.splitlines())
         reason = _SYNTAX_ERROR_LINE.sub("", str(exc)).strip()
-        return Fault(source.file, line, "", f"not TOML: {reason}")
+        return Fault(source.file, line, "", f"invalid TOML: {reason}")
 
 
 def index_lines(text: str) -> dict[Path, int]:
     """
-    Map the path of each value to the line of the statement that sets it.
+    Build an index from the path of each value to the line of the statement that sets it.
 
     :param text: a text that `parse_toml` accepts.
-    :returns: lines, counted from 1.
+    :returns: line numbers by path, starting at 1.
     """
     lines: dict[Path, int] = {}
     lengths: dict[Path, int] = {}
@@ -99,11 +99,11 @@
 
 def line_of(lines: dict[Path, int], path: Path) -> int:
     """
-    Find the line of a value, or of the nearest table around it.
+    Return the line of a value, or of its nearest enclosing table.
 
-    :param lines: from `index_lines`.
-    :param path: the value's path; it may lead to a field that is missing.
-    :returns: a line, counted from 1.
+    :param lines: index built by `index_lines`.
+    :param path: path of the value, which may be missing from the document.
+    :returns: a line number, starting at 1.
     """
     for end in range(len(path), 0, -1):
         if path[:end] in lines:
@@ -113,7 +113,7 @@
 
 def _iter_statements(text: str) -> Iterator[Statement]:
     """
-    Split a text into statements, by adding lines until what was gathered parses.
+    Split a text into statements, by adding lines to a statement until it parses.
     """
     pending = ""
     start = 1
@@ -138,7 +138,7 @@
 
 def _enter_table(header: dict[str, Any], lengths: dict[Path, int]) -> Path:
     """
-    Work out the path of a table header, counting the elements of lists of tables.
+    Return the path of a table header, and count the elements of arrays of tables.
     """
     path: Path = ()
     value: Any = header
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_schema.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_schema.py
@@ -1,8 +1,8 @@
 """
-The shape of configuration documents.
+Schema of configuration documents.
 
-The fleet has one document, and each workspace has one. The fields that may be left out are marked
-``NotRequired`` and are filled in by `eelgrassdrum_core._config_validate`.
+There is one document for the fleet and one for each workspace. Optional fields are marked
+``NotRequired``; `eelgrassdrum_core._config_validate` fills in their defaults.
 """
 
 from typing import Annotated, Literal, NotRequired
@@ -11,15 +11,15 @@
 from typing_extensions import TypedDict
 
 FLEET = "fleet"
-"""The name of the fleet's document, and the prefix of references to its services."""
+"""Name of the fleet document, and prefix of references to its services."""
 
 ANY_WORKSPACE = "*"
-"""The scope of an operator who may act on each workspace."""
+"""Scope of an operator who may act on every workspace."""
 
 _NAME = "[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?"
 
 NAME_PATTERN = f"^{_NAME}$"
-"""Names take part in subjects, URLs and key texts, so they hold no slash, blank or underscore."""
+"""Names occur in subjects, URLs and key texts, so slash, space and underscore are excluded."""
 
 Name = Annotated[str, Field(pattern=NAME_PATTERN)]
 ServiceReference = Annotated[str, Field(pattern=f"^({FLEET}/)?{_NAME}$")]
@@ -38,10 +38,10 @@
 
 class Service(TypedDict):
     """
-    A service and its availability budget; a shared one may be used by each workspace.
+    A service and its availability budget; every workspace may use a shared service.
 
-    The budget is given as the fraction or as the count of executors that may be down at once. A
-    rendered document always holds the count.
+    The budget is the fraction or the count of executors that may be down at once. A rendered
+    document always contains the count.
     """
 
     name: Name
@@ -53,7 +53,7 @@
 
 class Queue(TypedDict):
     """
-    A queue that takes callers' requests for one service.
+    A queue that accepts callers' requests for one service.
     """
 
     name: Name
@@ -67,7 +67,7 @@
 
 class Team(TypedDict):
     """
-    A team's share when the fleet is full, and what it may run at once across the fleet.
+    A team's share when the fleet is full, and its upper limit across the fleet.
     """
 
     name: Name
@@ -79,7 +79,7 @@
 
 class PoolSize(TypedDict):
     """
-    The number of instances that a pool may have, and the number that it should have.
+    Minimum, target and maximum number of instances in a pool.
     """
 
     min: Count
@@ -89,7 +89,7 @@
 
 class Pool(TypedDict):
     """
-    A set of instances that serve one purpose; a spare pool needs no service.
+    A set of instances with the same role and service; a spare pool needs no service.
     """
 
     name: Name
@@ -101,7 +101,7 @@
 
 class Measures(TypedDict):
     """
-    The weights of what the fleet's owner measures.
+    Weights of the fleet's optimization objectives.
     """
 
     roll_out_time: Weight
@@ -111,7 +111,7 @@
 
 class Operator(TypedDict):
     """
-    An operator, the workspaces that they may act on, and the digest of their key's secret.
+    An operator, the workspaces in scope, and the digest of the secret of the operator's key.
     """
 
     name: Name
@@ -160,7 +160,8 @@
 
 class KeyGrantedBody(TypedDict):
     """
-    The body of a ``key.granted`` record; no queues mean each keyed queue of the workspace.
+    The body of a ``key.granted`` record; an empty list of queues permits every keyed queue of the
+    workspace.
     """
 
     key_id: Name
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_template.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_template.py
@@ -1,9 +1,9 @@
 """
-Renders templates of documents with the parameters of one workspace.
+Renders document templates with the parameters of one workspace.
 
-A template declares its parameters under ``[parameters]`` and uses them as ``"${name}"``. A string
-that is nothing but one use takes the parameter's value with its type; a use inside a longer string
-is replaced by the value's text.
+A template declares its parameters under ``[parameters]`` and references them by placeholders
+``"${name}"``. A string that consists of one placeholder is replaced by the parameter's value and
+keeps its type; a placeholder inside a longer string is replaced by the value as text.
 """
 
 import re
@@ -26,10 +26,10 @@
 from ._config_validate import Locate, validate
 
 PARAMETERS = "parameters"
-"""The table of a template that declares parameters, and of a parameters file that sets them."""
+"""Table that declares parameters in a template, and sets them in a parameters file."""
 
 TEMPLATE = "template"
-"""The field of a parameters file that names its template."""
+"""Field of a parameters file that names its template."""
 
 _PLACEHOLDER = re.compile(r"\$\{([^}]*)\}")
 _TYPES: dict[str, tuple[type, ...]] = {
@@ -44,7 +44,7 @@
 
 class Declaration(TypedDict):
     """
-    A parameter as its template declares it.
+    The declaration of a parameter in a template.
     """
 
     type: Literal["string", "int", "float", "bool", "list"]
@@ -57,7 +57,7 @@
 
 class Rendering(NamedTuple):
     """
-    The outcome of a rendering: a document, or the faults that refuse it.
+    The result of rendering a template: a document, or the faults that prevent it.
     """
 
     document: Document | None
@@ -67,7 +67,7 @@
 
 class _ParsedFile(NamedTuple):
     """
-    A parsed file with the lines of its values.
+    A parsed file with the line numbers of its values.
     """
 
     file: str
@@ -76,7 +76,7 @@
 
     def fault(self, path: Path, message: str) -> Fault:
         """
-        Make a fault that stands in this file.
+        Build a fault located in this file.
         """
         return Fault(self.file, line_of(self.lines, path), dotted(path), message)
 
@@ -86,11 +86,11 @@
 
 def render(source: Source, parameters: Source | None = None) -> Rendering:
     """
-    Render and check a document.
+    Render and validate a document.
 
-    :param source: a document, or a template when parameters are given or all have defaults.
+    :param source: a document, or a template with its parameters given or defaulted.
     :param parameters: the parameters file of the workspace.
-    :returns: the document with defaults filled in, or every fault of both files.
+    :returns: the document with defaults filled in, or the faults in both files.
     """
     parsed = [_parse(item) for item in (source, parameters) if item is not None]
     parse_faults = [item for item in parsed if isinstance(item, Fault)]
@@ -127,9 +127,9 @@
     template: _ParsedFile, parameters_file: _ParsedFile
 ) -> tuple[dict[str, Any], list[Fault]]:
     """
-    Work out the value of each parameter.
+    Resolve the value of each parameter.
 
-    :returns: the values, and every fault of the declarations, the values and the uses.
+    :returns: the values, and all faults in declarations, values and placeholders.
     """
     declared = _read_declarations(template)
     if isinstance(declared, list):
@@ -143,7 +143,7 @@
         if key not in (TEMPLATE, PARAMETERS)
     ]
     faults += [
-        parameters_file.fault((PARAMETERS, name), f"{template.file} declares no such parameter")
+        parameters_file.fault((PARAMETERS, name), f"parameter is not declared in {template.file}")
         for name in settings
         if name not in declared
     ]
@@ -180,21 +180,21 @@
 
 def _check_value(declaration: Declaration, value: Any) -> str:
     """
-    Check a value against its declaration.
+    Check a value against the declaration of its parameter.
 
-    :returns: why it is refused, or an empty string.
+    :returns: the error message, or an empty string when the value is valid.
     """
     kind = declaration["type"]
     is_bool = isinstance(value, bool)
     if not isinstance(value, _TYPES[kind]) or (is_bool and kind != "bool"):
         return f"{value!r} is not of the type {kind}"
     if "choices" in declaration and value not in declaration["choices"]:
-        return f"{value!r} is none of {declaration['choices']}"
+        return f"{value!r} is not one of {declaration['choices']}"
     measure: Any = len(value) if isinstance(value, str | list) else value
     if "min" in declaration and measure < declaration["min"]:
-        return f"{value!r} is below the minimum of {declaration['min']}"
+        return f"{value!r} is less than the minimum of {declaration['min']}"
     if "max" in declaration and measure > declaration["max"]:
-        return f"{value!r} is above the maximum of {declaration['max']}"
+        return f"{value!r} is greater than the maximum of {declaration['max']}"
     return ""
 
 
@@ -206,9 +206,9 @@
             continue
         for name in _PLACEHOLDER.findall(text):
             if name not in declared:
-                yield template.fault(path, f"uses the undeclared parameter {name!r}")
+                yield template.fault(path, f"undeclared parameter {name!r}")
             elif declared[name]["type"] not in _SCALAR_TYPES and not _PLACEHOLDER.fullmatch(text):
-                yield template.fault(path, f"the list {name!r} cannot be part of a string")
+                yield template.fault(path, f"list parameter {name!r} cannot be part of a string")
 
 
 def _iter_strings(value: Any, path: Path) -> Iterator[tuple[Path, str]]:
@@ -224,7 +224,7 @@
 
 def _substitute(value: Any, values: dict[str, Any], path: Path, origins: dict[Path, str]) -> Any:
     """
-    Replace uses of parameters, and note which paths came whole from a parameter.
+    Replace placeholders, and record in ``origins`` the paths whose value is a parameter's value.
     """
     if isinstance(value, dict):
         return {
@@ -254,7 +254,7 @@
     template: _ParsedFile, parameters_file: _ParsedFile, origins: dict[Path, str]
 ) -> Locate:
     """
-    Make a function that finds values of the rendered document in the file that set them.
+    Build a function that maps a path of the rendered document to the file and line that set it.
     """
 
     def locate(path: Path) -> tuple[str, int]:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_validate.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_validate.py
@@ -1,8 +1,7 @@
 """
-Checks documents and records of keys, and reports each fault at once.
+Validates documents and key records, and reports all faults together.
 
-Everything here is a pure function of its arguments, so that each instance that folds a record
-comes to the same verdict.
+All functions are pure, so that every instance that folds a record reaches the same result.
 """
 
 from collections.abc import Callable, Iterator, Mapping, Sequence
@@ -39,12 +38,12 @@
 _Body = TypeVar("_Body", KeyGrantedBody, KeyWithdrawnBody)
 
 Locate = Callable[[Path], tuple[str, int]]
-"""Gives the file and line of the value at a path."""
+"""Returns the file and line of the value at a path."""
 
 
 class Problem(NamedTuple):
     """
-    A fault whose file and line are not known yet.
+    A fault whose file and line are not resolved yet.
     """
 
     path: Path
@@ -53,11 +52,11 @@
 
 def validate(raw: Any, locate: Locate) -> Document | list[Fault]:
     """
-    Check one document and fill in what it leaves out.
+    Validate one document and fill in its defaults.
 
     :param raw: the document as parsed from TOML or JSON.
-    :param locate: where values stand, for the faults.
-    :returns: the rendered document, or all of its faults in the order of their lines.
+    :param locate: function that locates values, for fault reports.
+    :returns: the rendered document, or all of its faults sorted by file and line.
     """
     checked = _check_shape(raw)
     if not isinstance(checked, list):
@@ -73,8 +72,8 @@
     """
     Decode the body of a ``document.published`` record.
 
-    :param body: the body as it was read from the log; it may be anything.
-    :returns: the document, or why it is refused.
+    :param body: the body as read from the log, not yet validated.
+    :returns: the document, or the faults for which it is rejected.
     """
     if not isinstance(body, dict):
         return [_fault((), "the body is not a table")]
@@ -86,7 +85,7 @@
             faults.append(_fault((key,), "missing, or not a string"))
     raw = body.get("document")
     if isinstance(raw, dict):
-        # The record names the document, which therefore need not repeat its name.
+        # The document may omit its name, since the record contains it.
         raw = {"name": body.get("name"), **raw}
     document = validate(raw, lambda path: ("", 0))
     if isinstance(document, list):
@@ -100,8 +99,8 @@
     """
     Decode the body of a ``key.granted`` record.
 
-    :param body: the body as it was read from the log.
-    :returns: the grant, or why it is refused.
+    :param body: the body as read from the log, not yet validated.
+    :returns: the grant, or the faults for which it is rejected.
     """
     return _decode(KEY_GRANTED_ADAPTER, body)
 
@@ -110,19 +109,19 @@
     """
     Decode the body of a ``key.withdrawn`` record.
 
-    :param body: the body as it was read from the log.
-    :returns: the withdrawal, or why it is refused.
+    :param body: the body as read from the log, not yet validated.
+    :returns: the withdrawal, or the faults for which it is rejected.
     """
     return _decode(KEY_WITHDRAWN_ADAPTER, body)
 
 
 def check_grant(grant: KeyGrantedBody, document: Document) -> list[Fault]:
     """
-    Check a grant against the document of its workspace.
+    Check a key grant against the document of its workspace.
 
-    :param grant: the grant.
-    :param document: the workspace's document in force.
-    :returns: all faults; none when the grant is sound.
+    :param grant: the key grant.
+    :param document: the document in force for the workspace.
+    :returns: all faults; empty when the grant is valid.
     """
     if document["name"] == FLEET or document["name"] != grant["workspace"]:
         return [_fault(("workspace",), f"no workspace {grant['workspace']!r}")]
@@ -136,7 +135,7 @@
         if name not in access:
             faults.append(_fault(path, f"no queue {name!r} in the workspace"))
         elif access[name] == "open":
-            faults.append(_fault(path, f"queue {name!r} is open and takes no keys"))
+            faults.append(_fault(path, f"queue {name!r} is open and does not use keys"))
     return faults
 
 
@@ -153,7 +152,7 @@
 
 def _check_shape(raw: Any) -> Document | list[Problem]:
     """
-    Check a document against the schema, and normalise it.
+    Validate a document against the schema, and normalise it.
     """
     if not isinstance(raw, dict):
         return [Problem((), "the document is not a table")]
@@ -167,7 +166,7 @@
 
 def _check(adapter: TypeAdapter[Any], raw: Any) -> Any:
     """
-    Validate a value strictly: nothing is converted and no unknown field is let by.
+    Validate a value strictly: values are not converted, and unknown fields are rejected.
     """
     try:
         return adapter.validate_python(raw, strict=True, extra="forbid")
@@ -190,7 +189,7 @@
 
 def _normalise(document: dict[str, Any], list_fields: Sequence[str]) -> Document:
     """
-    Fill in defaults and turn fractions of a budget into counts.
+    Fill in defaults and convert availability budgets from fractions to counts.
     """
     filled = dict(document)
     for field in list_fields:
@@ -202,7 +201,7 @@
 
 def _add_budget_count(service: dict[str, Any]) -> dict[str, Any]:
     """
-    Add the count that a fraction allows, unless the document gives the count.
+    Add the count derived from the fraction of a budget, unless the document contains the count.
     """
     if "availability_budget" not in service or "max_unavailable" in service:
         return service
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_keys.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_keys.py
@@ -1,5 +1,5 @@
 """
-Keys: which are granted, which are withdrawn, and what a presented one opens.
+Access keys: granted and withdrawn keys, and authorization of a presented key.
 """
 
 from typing import NamedTuple
@@ -19,11 +19,12 @@
     """
     A granted key.
 
-    :param workspace: the workspace it belongs to.
-    :param team: ``WORKSPACE/TEAM`` that its requests count for.
+    :param workspace: workspace that the key belongs to.
+    :param team: ``WORKSPACE/TEAM`` that its requests are attributed to.
     :param digest: SHA-256 of its secret, in hex.
-    :param queues: ``WORKSPACE/QUEUE`` names that it opens; empty for all of its workspace.
-    :param offset: where it was granted.
+    :param queues: ``WORKSPACE/QUEUE`` names that it may access; empty for all queues of its
+        workspace.
+    :param offset: offset of the grant in the log.
     """
 
     workspace: str
@@ -35,9 +36,9 @@
 
 class KeyFold(msgspec.Struct):
     """
-    Keys as decided by the log.
+    Keys granted and withdrawn by the log.
 
-    A withdrawn key's name stays taken, so a late grant can't bring it back.
+    The name of a withdrawn key can't be reused, so that a late grant can't reactivate it.
     """
 
     granted: dict[str, Key] = msgspec.field(default_factory=dict)
@@ -46,10 +47,10 @@
 
 def key_name(workspace: str, key_id: str) -> str:
     """
-    Give a key's full name.
+    Return the qualified name of a key.
 
-    :param workspace: its workspace.
-    :param key_id: its id.
+    :param workspace: workspace that the key belongs to.
+    :param key_id: id of the key in its workspace.
     :returns: ``WORKSPACE/KEYID``.
     """
     return f"{workspace}/{key_id}"
@@ -57,12 +58,12 @@
 
 def apply_grant(keys: KeyFold, offset: int, record: Record) -> str:
     """
-    Grant a key.
+    Apply the grant of a key.
 
     :param keys: changed in place.
-    :param offset: the record's place in the log.
+    :param offset: offset of the record in the log.
     :param record: a ``key.granted`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason for rejection, or an empty string when the record is accepted.
     """
     body = record.body
     try:
@@ -82,12 +83,12 @@
 
 def apply_withdrawal(keys: KeyFold, offset: int, record: Record) -> str:
     """
-    Withdraw a key for good.
+    Apply the permanent withdrawal of a key.
 
     :param keys: changed in place.
-    :param offset: the record's place in the log.
+    :param offset: offset of the record in the log.
     :param record: a ``key.withdrawn`` record.
-    :returns: a reason to reject it, or an empty text.
+    :returns: the reason for rejection, or an empty string when the record is accepted.
     """
     try:
         name = key_name(record.body["workspace"], record.body["key_id"])
@@ -102,12 +103,12 @@
 
 def find_key(keys: KeyFold, queue: Queue, credential: Credential) -> Key | RefusalCode:
     """
-    Look up what a presented key opens.
+    Look up the key that authorizes a request to a queue.
 
-    :param keys: the folded keys.
-    :param queue: the queue that the request is for.
-    :param credential: what the caller presented.
-    :returns: the key, or why it is refused.
+    :param keys: keys granted and withdrawn by the log.
+    :param queue: queue that the request is addressed to.
+    :param credential: credential presented by the caller.
+    :returns: the key, or the code of the refusal.
     """
     key = keys.granted.get(key_name(queue.workspace, credential.key_id))
     if key is None or not digests_match(key.digest, credential.digest):
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/configuration.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/configuration.py
@@ -1,5 +1,6 @@
 """
-The configuration format: documents, templates and checks, for programs that write records.
+Public API of the configuration format: documents, templates and checks, for programs that write
+configuration records.
 """
 
 from ._config_checks import check_across
