--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_dispatch.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_dispatch.py
@@ -188,7 +188,7 @@
         req.is_counted = True
         _retries.note_first(state.overload, req.queue)
     endpoint.in_flight += 1
-    endpoint.used_s = state.now_s
+    endpoint.last_attempt_s = state.now_s
     state.requests.attempts[attempt_id] = Attempt(attempt_id, req, endpoint.id, state.now_s)
     team: Team | None = state.fold.config.teams.get(req.team)
     share = OPEN_SHARE if team is None else team.share
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints.py
@@ -34,7 +34,7 @@
     known = {item.id: item for item in listed if item.role == "endpoint"}
     for endpoint in list(state.endpoints.values()):
         endpoint.listed = endpoint.id in known
-        is_old = now_s - endpoint.listed_s > UNLISTED_RETENTION_S
+        is_old = now_s - endpoint.last_listed_s > UNLISTED_RETENTION_S
         if not endpoint.listed and is_old and endpoint.in_flight == 0:
             del state.endpoints[endpoint.id]
     for item in known.values():
@@ -52,7 +52,7 @@
     endpoint.incarnation = incarnation
     endpoint.leaving = False
     endpoint.retry_at_s = 0.0
-    endpoint.since_s = now_s
+    endpoint.active_since_s = now_s
     endpoint.failure_rate = 0.0
     endpoint.samples = 0
     endpoint.ejections = 0
@@ -74,7 +74,7 @@
         for endpoint in state.endpoints.endpoints.values()
         if endpoint.service == service and is_usable(endpoint, own.zone, state.now_s)
     ]
-    oldest_s = min((endpoint.since_s for endpoint in usable), default=0.0)
+    oldest_s = min((endpoint.active_since_s for endpoint in usable), default=0.0)
     free = [
         endpoint
         for endpoint in usable
@@ -137,13 +137,13 @@
     endpoint = state.endpoints.get(item.id)
     if endpoint is None:
         endpoint = Endpoint(item.id, item.service, item.address, item.zone, item.slots)
-        endpoint.since_s = now_s
+        endpoint.active_since_s = now_s
         endpoint.incarnation = item.incarnation
         state.endpoints[item.id] = endpoint
     elif item.incarnation > endpoint.incarnation:
         reset_for_incarnation(endpoint, item.incarnation, now_s)
     endpoint.listed = True
-    endpoint.listed_s = now_s
+    endpoint.last_listed_s = now_s
     if item.incarnation == endpoint.incarnation:
         endpoint.address = item.address
         endpoint.service = item.service
@@ -157,7 +157,7 @@
         return 1
     if endpoint.zone != local_zone:
         return max(1, endpoint.slots // REMOTE_SLOT_DIVISOR)
-    age_s = state.now_s - endpoint.since_s
-    if age_s < SLOW_START_S and endpoint.since_s - oldest_s >= SLOW_START_S:
+    age_s = state.now_s - endpoint.active_since_s
+    if age_s < SLOW_START_S and endpoint.active_since_s - oldest_s >= SLOW_START_S:
         return max(1, int(endpoint.slots * age_s / SLOW_START_S))
     return endpoint.slots
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints_health.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints_health.py
@@ -177,7 +177,9 @@
         return None
     own = state.identity.sender
     if endpoint.zone != own.zone:
-        is_used = endpoint.used_s >= 0 and state.now_s - endpoint.used_s < REMOTE_USE_S
+        is_used = (
+            endpoint.last_attempt_s >= 0 and state.now_s - endpoint.last_attempt_s < REMOTE_USE_S
+        )
         has_waiting = load_of(state, endpoint.service).total > 0
         return SECONDARY_PROBE_INTERVAL_S if is_used or has_waiting else None
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints_state.py
@@ -14,8 +14,8 @@
     :param retry_at_s: time before which it gets no new work, after a refusal or a failure.
     :param incarnation: newest incarnation that was seen.
     :param listed: whether the platform's list names it.
-    :param listed_s: time at which the list last named it.
-    :param since_s: time at which this incarnation began to get work here.
+    :param last_listed_s: time at which the list last named it.
+    :param active_since_s: time at which this incarnation began to get work here.
     :param failure_rate: recent share of attempts that failed, from 0 to 1.
     :param samples: attempts that the share rests on.
     :param ejections: times that it was taken out since it last worked well.
@@ -24,7 +24,7 @@
     :param last_probe_s: time of the last probe, or -1.
     :param first_probe_s: time of the first probe, or -1.
     :param last_healthy_probe_s: time at which a probe was sent that showed it live, or -1.
-    :param used_s: time of the last attempt, or -1.
+    :param last_attempt_s: time of the last attempt, or -1.
     """
 
     id: str
@@ -37,8 +37,8 @@
     retry_at_s: float = 0.0
     incarnation: int = 0
     listed: bool = True
-    listed_s: float = 0.0
-    since_s: float = 0.0
+    last_listed_s: float = 0.0
+    active_since_s: float = 0.0
     failure_rate: float = 0.0
     samples: int = 0
     ejections: int = 0
@@ -47,7 +47,7 @@
     last_probe_s: float = -1.0
     first_probe_s: float = -1.0
     last_healthy_probe_s: float = -1.0
-    used_s: float = -1.0
+    last_attempt_s: float = -1.0
 
 
 class EndpointState(msgspec.Struct):
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_jobs.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_jobs.py
@@ -77,14 +77,14 @@
 
     :param capacity: what it has.
     :param used: what its jobs need.
-    :param starts: jobs that may still be started there; few while it is on trial.
+    :param starts_left: jobs that may still be started there; few while it is on trial.
     """
 
     id: str
     rack: str
     capacity: Size
     used: Size
-    starts: int
+    starts_left: int
 
 
 class TeamUsage(NamedTuple):
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement.py
@@ -79,7 +79,7 @@
     :param misses: its jobs that fitted nowhere.
     """
 
-    use: TeamUsage
+    usage: TeamUsage
     running: int
     used: Size
     urgent: deque[WaitingJob]
@@ -127,14 +127,14 @@
 def _park_unplaceable(
     waiting: Sequence[WaitingJob], workers: Sequence[Worker], teams: dict[str, TeamUsage]
 ) -> tuple[list[Parked], list[WaitingJob]]:
-    shapes = {worker.capacity for worker in workers}
+    capacities = {worker.capacity for worker in workers}
     parked, placeable = [], []
     for job in waiting:
         if job.team not in teams:
             parked.append(Parked(job.id, PARKED_NO_TEAM))
         elif teams[job.team].limit <= 0:
             parked.append(Parked(job.id, PARKED_NO_LIMIT))
-        elif not any(job.size.fits(shape) for shape in shapes):
+        elif not any(job.size.fits(capacity) for capacity in capacities):
             parked.append(Parked(job.id, PARKED_TOO_LARGE))
         else:
             placeable.append(job)
@@ -156,13 +156,13 @@
     total: Size,
     starts: list[Start],
 ) -> None:
-    victims: PreemptIndex | None = None
+    preempt_index: PreemptIndex | None = None
     heap = [(_weighted_share(team, total), name) for name, team in queues.items() if team.urgent]
     heapify(heap)
     while heap:
         _, name = heappop(heap)
         team = queues[name]
-        if team.running >= team.use.limit:
+        if team.running >= team.usage.limit:
             continue
         job = team.urgent.popleft()
         worker = find_worker(index, job.size)
@@ -171,8 +171,8 @@
             starts.append(Start(job.id, worker))
             _add_running(team, job.size)
         else:
-            victims = victims or build_preempt_index(running, index)
-            _preempt(queues, index, victims, total, job, starts)
+            preempt_index = preempt_index or build_preempt_index(running, index)
+            _preempt(queues, index, preempt_index, total, job, starts)
         if team.urgent:
             heappush(heap, (_weighted_share(team, total), name))
 
@@ -180,32 +180,34 @@
 def _preempt(
     queues: dict[str, _Team],
     index: FitIndex,
-    victims: PreemptIndex,
+    preempt_index: PreemptIndex,
     total: Size,
     job: WaitingJob,
     starts: list[Start],
 ) -> None:
-    weights = sum(team.use.share for team in queues.values())
+    total_weight = sum(team.usage.share for team in queues.values())
     utilization = _sum_sizes(team.used for team in queues.values()).dominant_fraction(total)
 
     def may_preempt(running: RunningJob) -> bool:
         team = queues.get(running.team)
         if team is None or running.team == job.team:
             return True
-        protected_share = PROTECTED_SHARE_RATIO * utilization * team.use.share / weights
+        protected_share = PROTECTED_SHARE_RATIO * utilization * team.usage.share / total_weight
         return team.used.minus(running.size).dominant_fraction(total) >= protected_share
 
-    found = find_victims(victims, index.free, job.size, may_preempt)
-    if found is None or len({victim.team for victim in found}) < len(found) > 1:
+    victims = find_victims(preempt_index, index.free, job.size, may_preempt)
+    if victims is None or len({victim.team for victim in victims}) < len(victims) > 1:
         # Several jobs of one team could leave it less than its share.
         return
-    for victim in found:
+    for victim in victims:
         if victim.team in queues:
             team = queues[victim.team]
             team.running -= 1
             team.used = team.used.minus(victim.size)
-    replace_preempted(index, found[0].worker, _sum_sizes(victim.size for victim in found), job.size)
-    starts.append(Start(job.id, found[0].worker, tuple(victim.id for victim in found)))
+    replace_preempted(
+        index, victims[0].worker, _sum_sizes(victim.size for victim in victims), job.size
+    )
+    starts.append(Start(job.id, victims[0].worker, tuple(victim.id for victim in victims)))
     _add_running(queues[job.team], job.size)
 
 
@@ -218,7 +220,7 @@
     while heap and index.by_free_cores:
         _, name = heappop(heap)
         team = queues[name]
-        if team.running >= team.use.limit:
+        if team.running >= team.usage.limit:
             continue
         job = team.normal.popleft()
         worker = find_worker(index, job.size)
@@ -235,7 +237,7 @@
 
 
 def _weighted_share(team: _Team, total: Size) -> float:
-    return dominant_share(team.used, total, team.use.share)
+    return dominant_share(team.used, total, team.usage.share)
 
 
 def _add_running(team: _Team, size: Size) -> None:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement_fit.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement_fit.py
@@ -18,12 +18,12 @@
     Workers that may start jobs.
 
     :param free: free room by worker.
-    :param starts: jobs that may still be started at each.
+    :param starts_left: jobs that may still be started at each.
     :param by_free_cores: ids by free processors.
     """
 
     free: dict[str, Size]
-    starts: dict[str, int]
+    starts_left: dict[str, int]
     by_free_cores: SortedKeyList
 
 
@@ -34,10 +34,12 @@
     :param workers: the workers.
     :returns: the index.
     """
-    eligible = [worker for worker in workers if worker.starts > 0]
+    eligible = [worker for worker in workers if worker.starts_left > 0]
     free = {worker.id: worker.capacity.minus(worker.used) for worker in eligible}
-    starts = {worker.id: worker.starts for worker in eligible}
-    return FitIndex(free, starts, SortedKeyList(free, key=lambda name: (free[name].cores, name)))
+    starts_left = {worker.id: worker.starts_left for worker in eligible}
+    return FitIndex(
+        free, starts_left, SortedKeyList(free, key=lambda name: (free[name].cores, name))
+    )
 
 
 def find_worker(index: FitIndex, size: Size) -> str | None:
@@ -73,8 +75,8 @@
     """
     index.by_free_cores.remove(worker)
     index.free[worker] = index.free[worker].minus(size)
-    index.starts[worker] -= 1
-    if index.starts[worker] > 0:
+    index.starts_left[worker] -= 1
+    if index.starts_left[worker] > 0:
         index.by_free_cores.add(worker)
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement_preempt.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement_preempt.py
@@ -20,13 +20,13 @@
     Jobs that may make place, by worker.
 
     :param jobs: such jobs of each worker.
-    :param names: workers that have such jobs.
-    :param next: worker at which the next search begins.
+    :param workers: workers that have such jobs.
+    :param next_position: worker at which the next search begins.
     """
 
     jobs: dict[str, list[RunningJob]]
-    names: list[str]
-    next: int = 0
+    workers: list[str]
+    next_position: int = 0
 
 
 def build_preempt_index(running: Sequence[RunningJob], fit: FitIndex) -> PreemptIndex:
@@ -61,8 +61,8 @@
     :returns: the jobs, or ``None``.
     """
     best: list[RunningJob] | None = None
-    for step in range(min(MAX_PROBED_WORKERS, len(index.names))):
-        name = index.names[(index.next + step) % len(index.names)]
+    for step in range(min(MAX_PROBED_WORKERS, len(index.workers))):
+        name = index.workers[(index.next_position + step) % len(index.workers)]
         found = _find_victims_on(index.jobs[name], free[name], size, may_preempt)
         if found is not None and (best is None or len(found) < len(best)):
             best = found
@@ -71,7 +71,7 @@
     if best is not None:
         for job in best:
             index.jobs[job.worker].remove(job)
-    index.next += 1
+    index.next_position += 1
     return best
 
 
