--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_checks.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_checks.py
@@ -68,7 +68,7 @@
     seen: set[str] = set()
     for position, name in enumerate(names):
         if name in seen:
-            yield (field, position, "name"), f"duplicate name {name!r}"
+            yield (field, position, "name"), f"the name {name!r} is not unique"
         seen.add(name)
 
 
@@ -158,7 +158,7 @@
 def _check_fleet(document: Document) -> Iterator[Finding]:
     fields = cast(Mapping[str, list[Any]], document)
     yield from (
-        (("zones", position), f"duplicate zone {zone!r}")
+        (("zones", position), f"the zone {zone!r} is not unique")
         for position, zone in enumerate(fields["zones"])
         if zone in fields["zones"][:position]
     )
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_schema.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_schema.py
@@ -101,7 +101,7 @@
 
 class Measures(TypedDict):
     """
-    Weights of the fleet's optimization objectives.
+    Weights of the objectives of fleet planning.
     """
 
     roll_out_time: Weight
@@ -121,7 +121,7 @@
 
 class FleetDocument(TypedDict):
     """
-    The document of the whole fleet.
+    The document of the fleet.
     """
 
     name: Literal["fleet"]
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints.py
@@ -1,5 +1,5 @@
 """
-Endpoints of each service, and the choice of one for an attempt.
+Endpoints of each service, and their selection for attempts.
 """
 
 import xxhash
@@ -8,14 +8,15 @@
 from ._events import ListedInstance
 from ._state import State
 
-# An endpoint that the list has left out is remembered, so that an older list cannot revive it.
+# An endpoint missing from the list is kept for this time, so that a stale list can't restore it.
 UNLISTED_RETENTION_S = 60.0
-# An endpoint gets new work for this time after a probe that showed it live.
+# An endpoint is eligible for new work for this time after a healthy probe was sent.
 LIVENESS_TTL_S = 4.5
+# A local endpoint without a healthy probe stays eligible for this time after its first probe.
 FIRST_PROBE_GRACE_S = 1.0
-# A new endpoint gets its full work after this time when others of its service are older.
+# A new endpoint beside older ones of its service ramps up to its full slots over this time.
 SLOW_START_S = 5.0
-# Part of the slots of another zone's endpoint that one instance may use.
+# An instance uses at most this fraction (1 / divisor) of the slots of a remote zone's endpoint.
 REMOTE_SLOT_DIVISOR = 4
 
 
@@ -23,13 +24,13 @@
     state: EndpointState, listed: tuple[ListedInstance, ...], now_s: float
 ) -> None:
     """
-    Take over the platform's list, which lags.
+    Update the endpoints from the platform's instance list, which may be stale.
 
-    An endpoint that is leaving stays so until the list shows a newer incarnation of it.
+    A leaving endpoint keeps that state until the list contains a newer incarnation of it.
 
-    :param state: changed in place.
-    :param listed: all instances of the list.
-    :param now_s: time.
+    :param state: updated in place.
+    :param listed: all instances in the list.
+    :param now_s: current time, in seconds.
     """
     known = {item.id: item for item in listed if item.role == "endpoint"}
     for endpoint in list(state.endpoints.values()):
@@ -43,11 +44,11 @@
 
 def reset_for_incarnation(endpoint: Endpoint, incarnation: int, now_s: float) -> None:
     """
-    Forget what was known of an older incarnation.
+    Reset the state of an endpoint for a newer incarnation.
 
-    :param endpoint: changed in place.
+    :param endpoint: updated in place.
     :param incarnation: the newer incarnation.
-    :param now_s: time.
+    :param now_s: current time, in seconds.
     """
     endpoint.incarnation = incarnation
     endpoint.leaving = False
@@ -62,9 +63,9 @@
 
 def choose_endpoint(state: State, service: str) -> Endpoint | None:
     """
-    Choose the least loaded endpoint, in another zone only when the own zone has no room.
+    Choose the least loaded endpoint; remote zones are used only when the local zone is full.
 
-    :param state: the state.
+    :param state: state of this instance.
     :param service: ``WORKSPACE/SERVICE``.
     :returns: an endpoint with a free slot, or ``None``.
     """
@@ -85,11 +86,11 @@
 
 def pick(state: State, free: list[Endpoint]) -> Endpoint | None:
     """
-    Pick the least loaded endpoint, those of the own zone first.
+    Pick the least loaded of the given endpoints, preferring the local zone.
 
-    :param state: the state.
+    :param state: state of this instance.
     :param free: endpoints with a free slot.
-    :returns: one of them, or ``None`` when there is none.
+    :returns: one of them, or ``None`` when there are none.
     """
     own = state.identity.sender
 
@@ -102,17 +103,17 @@
 
 def is_usable(endpoint: Endpoint, local_zone: str, now_s: float) -> bool:
     """
-    Tell whether an endpoint may get new work.
+    Return whether an endpoint may receive new work.
 
     :param endpoint: the endpoint.
     :param local_zone: availability zone of this instance.
-    :param now_s: time.
-    :returns: whether it may.
+    :param now_s: current time, in seconds.
+    :returns: whether it is listed, neither leaving nor waiting for a retry, and assumed live.
     """
     if not endpoint.listed or endpoint.leaving or endpoint.retry_at_s > now_s:
         return False
     if endpoint.last_healthy_probe_s < 0:
-        # The first probe may still be on its way; work for another zone waits for it.
+        # The first probe may still be in flight; a remote endpoint gets no work before its result.
         if endpoint.zone != local_zone:
             return False
         return endpoint.first_probe_s < 0 or now_s - endpoint.first_probe_s <= FIRST_PROBE_GRACE_S
@@ -121,11 +122,11 @@
 
 def has_any(state: EndpointState, service: str) -> bool:
     """
-    Tell whether a service has an endpoint that is not leaving.
+    Return whether a service has a listed endpoint that is not leaving.
 
-    :param state: what is known of endpoints.
+    :param state: endpoints known to this instance.
     :param service: ``WORKSPACE/SERVICE``.
-    :returns: whether there is one.
+    :returns: whether there is at least one.
     """
     return any(
         endpoint.service == service and endpoint.listed and not endpoint.leaving
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints_health.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints_health.py
@@ -1,9 +1,10 @@
 """
-Health of endpoints: probes, failures, ejection and careful re-entry.
+Health of endpoints: probes, failure rates, ejection and trial after ejection.
 
-The instances of a zone share the probes of its endpoints: one of them, chosen by rendezvous
-hashing, probes often and tells the others of a change. The others probe seldom, yet often enough
-to notice a leaving endpoint in time when that one is lost.
+The instances of a zone share the probing of its endpoints. For each endpoint a primary, selected by
+rendezvous hashing, probes at a short interval and notifies the others when the endpoint is leaving.
+The others probe at a longer interval, which still detects a leaving endpoint in time when the
+primary fails.
 """
 
 from collections.abc import Iterator
@@ -23,18 +24,21 @@
 
 PRIMARY_PROBE_INTERVAL_S = 1.0
 SECONDARY_PROBE_INTERVAL_S = 3.0
-# Endpoints of other zones are probed while work for them waits, or was sent to them lately.
+# Remote endpoints are probed while requests for their service wait, and for this time after the
+# last attempt there.
 REMOTE_USE_S = 10.0
 PROBE_TIMEOUT_S = 1.0
-# Probes in a row without an answer after which an endpoint gets no work.
+# Consecutive failed probes after which an endpoint is ejected.
 MAX_FAILED_PROBES = 2
+# Weight of one attempt in the moving average of failures.
 FAILURE_WEIGHT = 0.2
-# A failure counts for more when it comes much sooner than answers of the service do.
+# A fast failure weighs more: it takes less than this fraction of the service's mean run time.
 FAST_FAILURE_WEIGHT = 0.4
 FAST_FAILURE_RATIO = 0.3
 MIN_SAMPLES = 3
 EJECT_FAILURE_RATE = 0.5
-# An endpoint is not to blame when others of its service fail nearly as often.
+# An endpoint is ejected only when its failure rate exceeds the mean of the other endpoints of its
+# service by this margin; otherwise the cause is not the endpoint.
 EJECT_RATE_MARGIN = 0.3
 BASE_EJECTION_S = 0.5
 MAX_EJECTION_S = 30.0
@@ -45,13 +49,13 @@
     state: State, endpoint_id: str, failed: bool, run_s: float, mean_run_s: float
 ) -> None:
     """
-    Note that an attempt was answered.
+    Record the response to an attempt.
 
-    :param state: the endpoint is changed in place.
-    :param endpoint_id: its id.
-    :param failed: whether the answer was a failure of the endpoint.
-    :param run_s: seconds that the attempt took.
-    :param mean_run_s: mean seconds that attempts of the service take.
+    :param state: state of this instance; the endpoint is updated in place.
+    :param endpoint_id: id of the endpoint.
+    :param failed: whether the response was a failure of the endpoint.
+    :param run_s: duration of the attempt, in seconds.
+    :param mean_run_s: mean duration of attempts of the service, in seconds.
     """
     endpoint = state.endpoints.endpoints.get(endpoint_id)
     if endpoint is None:
@@ -71,10 +75,10 @@
 
 def note_unreachable(state: State, endpoint_id: str) -> None:
     """
-    Note that no connection to an endpoint could be opened.
+    Record that a connection to an endpoint could not be opened, and eject the endpoint.
 
-    :param state: the endpoint is changed in place.
-    :param endpoint_id: its id.
+    :param state: state of this instance; the endpoint is updated in place.
+    :param endpoint_id: id of the endpoint.
     """
     endpoint = state.endpoints.endpoints.get(endpoint_id)
     if endpoint is not None:
@@ -83,10 +87,10 @@
 
 def note_timeout(state: State, endpoint_id: str) -> Iterator[object]:
     """
-    Note that an attempt got no answer, and ask the endpoint on a new connection.
+    Record that an attempt timed out, and probe the endpoint on a new connection.
 
-    :param state: the endpoint is changed in place.
-    :param endpoint_id: its id.
+    :param state: state of this instance; the endpoint is updated in place.
+    :param endpoint_id: id of the endpoint.
     :returns: the probe.
     """
     endpoint = state.endpoints.endpoints.get(endpoint_id)
@@ -100,11 +104,11 @@
 
 def note_leaving(state: State, endpoint_id: str) -> Iterator[object]:
     """
-    Note that an endpoint has said that it is leaving, and tell the zone.
+    Record that an endpoint reported that it is leaving, and notify the zone.
 
-    :param state: the endpoint is changed in place.
-    :param endpoint_id: its id.
-    :returns: messages to the instances of the zone.
+    :param state: state of this instance; the endpoint is updated in place.
+    :param endpoint_id: id of the endpoint.
+    :returns: a log line, and messages to the other instances of the zone.
     """
     endpoint = state.endpoints.endpoints.get(endpoint_id)
     if endpoint is None or endpoint.leaving:
@@ -128,7 +132,7 @@
 
 def on_probed(state: State, event: EndpointProbed) -> Iterator[object]:
     """
-    Take in what a probe has shown.
+    Apply the result of a probe.
     """
     endpoint = state.endpoints.endpoints.get(event.endpoint)
     if endpoint is None or (event.healthy and event.incarnation < endpoint.incarnation):
@@ -155,7 +159,7 @@
 
 def on_peer(state: State, event: PeerReceived) -> Iterator[object]:
     """
-    Learn from another instance that an endpoint is leaving.
+    Record the report of a peer that an endpoint is leaving.
     """
     if isinstance(event.message, EndpointLeaving):
         endpoint = state.endpoints.endpoints.get(event.message.endpoint)
@@ -206,7 +210,8 @@
 
 
 def _may_eject(state: State, endpoint: Endpoint) -> bool:
-    # At least half of the service stays, so that the rest does not collapse under its work.
+    # At least half of the service's endpoints in the zone stay in use, since fewer would be
+    # overloaded.
     zone_endpoints = [
         other
         for other in state.endpoints.endpoints.values()
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints_messages.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints_messages.py
@@ -1,5 +1,5 @@
 """
-Messages between entry instances about endpoints.
+Peer messages between entry instances about endpoints.
 """
 
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 @register_message
 class EndpointLeaving(NamedTuple):
     """
-    The sender has learned that an endpoint is leaving.
+    Reports that an endpoint is leaving.
 
     :param endpoint: id of the endpoint.
     :param incarnation: the incarnation that is leaving.
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints_state.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints_state.py
@@ -1,5 +1,5 @@
 """
-State of what is known about endpoints.
+State of endpoints as known to one instance.
 """
 
 import msgspec
@@ -7,23 +7,24 @@
 
 class Endpoint(msgspec.Struct):
     """
-    What is known of one endpoint.
-
-    :param in_flight: attempts that this instance has there.
-    :param leaving: whether it gets no new work.
-    :param retry_at_s: time before which it gets no new work, after a refusal or a failure.
-    :param incarnation: newest incarnation that was seen.
-    :param listed: whether the platform's list names it.
-    :param last_listed_s: time at which the list last named it.
-    :param active_since_s: time at which this incarnation began to get work here.
-    :param failure_rate: recent share of attempts that failed, from 0 to 1.
-    :param samples: attempts that the share rests on.
-    :param ejections: times that it was taken out since it last worked well.
-    :param trial_attempts_left: attempts that must succeed, one by one, before it gets its full work.
-    :param failed_probes: probes in a row that got no answer.
+    State of one endpoint.
+
+    :param in_flight: number of this instance's attempts in flight at the endpoint.
+    :param leaving: whether it is leaving and gets no new work.
+    :param retry_at_s: time before which it gets no new work, after a refusal or an ejection.
+    :param incarnation: newest known incarnation.
+    :param listed: whether the platform's instance list contains it.
+    :param last_listed_s: time at which the list last contained it.
+    :param active_since_s: time at which this instance first saw the incarnation.
+    :param failure_rate: moving average of failed attempts, from 0 to 1.
+    :param samples: number of attempts in the failure rate.
+    :param ejections: number of ejections since it last recovered.
+    :param trial_attempts_left: attempts that must succeed, one at a time, before it gets its full
+        load.
+    :param failed_probes: number of consecutive failed probes.
     :param last_probe_s: time of the last probe, or -1.
     :param first_probe_s: time of the first probe, or -1.
-    :param last_healthy_probe_s: time at which a probe was sent that showed it live, or -1.
+    :param last_healthy_probe_s: time at which the last healthy probe was sent, or -1.
     :param last_attempt_s: time of the last attempt, or -1.
     """
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_jobs.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_jobs.py
@@ -1,5 +1,5 @@
 """
-Jobs and workers as the decisions about placement see them.
+Jobs, workers and teams as input of placement decisions.
 """
 
 from typing import NamedTuple
@@ -7,11 +7,11 @@
 
 class Size(NamedTuple):
     """
-    Resources of a worker, or those that a job needs or uses.
+    Resources that a worker has, or that a job needs or uses.
 
-    :param cores: processors.
-    :param memory_gb: memory.
-    :param accelerators: accelerators.
+    :param cores: number of processor cores.
+    :param memory_gb: memory, in GB.
+    :param accelerators: number of accelerators.
     """
 
     cores: float
@@ -20,9 +20,9 @@
 
     def plus(self, other: "Size") -> "Size":
         """
-        Add two sizes.
+        Add another size.
 
-        :param other: another size.
+        :param other: the size to add.
         :returns: the sum.
         """
         return Size(
@@ -33,9 +33,9 @@
 
     def minus(self, other: "Size") -> "Size":
         """
-        Subtract a size.
+        Subtract another size.
 
-        :param other: another size.
+        :param other: the size to subtract.
         :returns: the difference.
         """
         return Size(
@@ -46,10 +46,10 @@
 
     def fits(self, available: "Size") -> bool:
         """
-        Tell whether this is no more than some room in any resource.
+        Return whether this size fits into the available resources.
 
-        :param available: what is free.
-        :returns: whether it fits.
+        :param available: free resources.
+        :returns: whether no resource exceeds what is available.
         """
         return (
             self.cores <= available.cores
@@ -59,10 +59,10 @@
 
     def dominant_fraction(self, total: "Size") -> float:
         """
-        Give the part of a total in the resource of which this needs most.
+        Return the largest fraction that this size takes of any resource of a total.
 
-        :param total: such as the whole fleet.
-        :returns: the dominant share.
+        :param total: total resources, such as those of the fleet.
+        :returns: the fraction of the dominant resource.
         """
         pairs = zip(self, total, strict=True)
         return max((need / whole for need, whole in pairs if whole > 0), default=0.0)
@@ -75,9 +75,10 @@
     """
     A worker that may run jobs.
 
-    :param capacity: what it has.
-    :param used: what its jobs need.
-    :param starts_left: jobs that may still be started there; few while it is on trial.
+    :param capacity: resources of the worker.
+    :param used: resources reserved by its jobs.
+    :param starts_left: number of jobs that may still be started there; small while the worker is on
+        trial.
     """
 
     id: str
@@ -89,13 +90,13 @@
 
 class TeamUsage(NamedTuple):
     """
-    A team's right to the fleet and its present use.
+    A team's entitlement to the fleet and its current usage.
 
     :param name: ``WORKSPACE/TEAM``.
-    :param share: its weight when the fleet is full.
-    :param limit: jobs that it may run at once over the fleet.
-    :param running: jobs that it runs.
-    :param used: what they need.
+    :param share: weight of the team when the fleet is full.
+    :param limit: upper limit of jobs that it runs at once across the fleet.
+    :param running: number of its running jobs.
+    :param used: resources reserved by its running jobs.
     """
 
     name: str
@@ -110,9 +111,9 @@
     A job that waits for a worker.
 
     :param team: ``WORKSPACE/TEAM``.
-    :param size: what it is believed to need.
-    :param urgent: whether it may take the place of others.
-    :param waited_s: seconds since it could have started.
+    :param size: estimated resources.
+    :param urgent: whether it may preempt other jobs.
+    :param waited_s: time since it became ready to start, in seconds.
     """
 
     id: str
@@ -124,11 +125,11 @@
 
 class RunningJob(NamedTuple):
     """
-    A job on a worker.
+    A job that runs on a worker.
 
-    :param size: what it is believed to need, or what it was seen to use.
-    :param can_checkpoint: whether it may be stopped and go on later.
-    :param preemptions: times that it has made place before.
+    :param size: estimated resources, or observed usage.
+    :param can_checkpoint: whether it can be checkpointed, stopped and resumed later.
+    :param preemptions: number of times that it was preempted.
     """
 
     id: str
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_jobs_usage.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_jobs_usage.py
@@ -1,9 +1,9 @@
 """
-What a job is believed to need, from what earlier jobs of its template used.
+Estimates of the resources of a job from the usage of earlier jobs of its template.
 
-Declared sizes are far off, so they count only until enough jobs were seen. Processors are taken at
-their mean, since a job that uses more is merely slowed down; memory at a high quantile, since one
-that uses more must be checkpointed and stopped.
+Declared sizes are far from actual usage, so they apply only until enough samples exist. The
+estimate of cores is the mean, since a job that uses more is only slowed down. The estimate of
+memory is a high quantile, since a job that uses more must be checkpointed and stopped.
 """
 
 from collections import deque
@@ -13,14 +13,14 @@
 from ._jobs import Size
 
 MAX_SAMPLES = 64
-# Jobs seen after which the declared size counts no more.
+# Number of samples from which the estimate replaces the declared size.
 MIN_SAMPLES = 5
 MEMORY_QUANTILE = 0.95
 
 
 class UsageHistory(msgspec.Struct):
     """
-    Largest use of the last jobs of one workspace and template.
+    Peak usage of the most recent jobs of one workspace and template.
     """
 
     used: deque[Size] = msgspec.field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
@@ -28,21 +28,21 @@
 
 def note_usage(history: UsageHistory, used: Size) -> None:
     """
-    Take in the largest use of a job that has ended.
+    Add the peak usage of a finished job.
 
-    :param history: changed in place.
-    :param used: what it used.
+    :param history: updated in place.
+    :param used: peak usage of the job.
     """
     history.used.append(used)
 
 
 def estimate(history: UsageHistory | None, declared: Size) -> Size:
     """
-    Estimate what a job will use.
+    Estimate the resources of a job.
 
-    :param history: what earlier jobs used, if any.
-    :param declared: what its submitter says; accelerators are always taken from here.
-    :returns: the size to reserve.
+    :param history: usage of earlier jobs, if any.
+    :param declared: size declared by the submitter, which always determines the accelerators.
+    :returns: the resources to reserve.
     """
     if history is None or len(history.used) < MIN_SAMPLES:
         return declared
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement.py
@@ -1,10 +1,11 @@
 """
 Places waiting jobs on workers: a pure function on plain data.
 
-The team with the least dominant share, by its weight, goes next (dominant-resource fairness); its
-job goes to the tightest worker that it fits into. Urgent jobs go first and may take the place of
-jobs of their own team, and of teams that keep nearly their share without them. A job that waits
-long gets a worker kept free for it.
+The team with the smallest weighted dominant share is served next (dominant-resource fairness), and
+its job is placed on the worker with the least free resources that fits it (best-fit bin packing).
+Urgent jobs are placed first. They may preempt jobs of their own team, and jobs of teams that keep
+nearly their fair share without them. A worker is reserved for a job that has waited long, so that
+smaller jobs can't starve it.
 """
 
 from collections import deque
@@ -25,11 +26,12 @@
 )
 from ._placement_preempt import PreemptIndex, build_preempt_index, find_victims
 
+# Waiting time after which a worker is reserved for a job.
 RESERVE_AFTER_S = 60.0
 MAX_RESERVED = 8
-# Jobs of one team that fit nowhere, after which its others are not tried in this plan.
+# Unplaceable jobs of one team after which its remaining jobs are skipped in this plan.
 MAX_MISSES_PER_TEAM = 8
-# Part of its fair share that a team keeps when others' urgent work takes its place.
+# Fraction of a team's fair share that urgent jobs of other teams can't preempt.
 PROTECTED_SHARE_RATIO = 0.95
 
 PARKED_TOO_LARGE = "larger_than_any_worker"
@@ -39,9 +41,9 @@
 
 class Start(NamedTuple):
     """
-    A job is to start at a worker, once the named jobs have made place.
+    The decision to start a job on a worker, once the preempted jobs have stopped.
 
-    :param preempts: jobs that are checkpointed and stopped first.
+    :param preempts: jobs to checkpoint and stop first.
     """
 
     job: str
@@ -51,9 +53,9 @@
 
 class Parked(NamedTuple):
     """
-    A job can't ever run as things are.
+    A job that can't run with the current workers and limits.
 
-    :param reason: why, as told to its submitter.
+    :param reason: reason reported to its submitter.
     """
 
     job: str
@@ -62,10 +64,10 @@
 
 class Placement(NamedTuple):
     """
-    What a plan decides.
+    The decisions of one plan.
 
-    :param starts: jobs that start.
-    :param parked: jobs that can never run, with the reason.
+    :param starts: jobs to start, in order.
+    :param parked: jobs that can't run, with the reason.
     """
 
     starts: tuple[Start, ...]
@@ -74,9 +76,14 @@
 
 class _Team(msgspec.Struct):
     """
-    A team while jobs are placed.
-
-    :param misses: its jobs that fitted nowhere.
+    State of a team while a plan is computed.
+
+    :param usage: entitlement of the team, and its usage before the plan.
+    :param running: number of its jobs that run, or start in this plan.
+    :param used: resources reserved by these jobs.
+    :param urgent: its urgent jobs that wait.
+    :param normal: its other jobs that wait.
+    :param misses: number of its jobs for which no worker was found.
     """
 
     usage: TeamUsage
@@ -94,13 +101,13 @@
     teams: Iterable[TeamUsage],
 ) -> Placement:
     """
-    Decide which jobs start where.
+    Decide which jobs start on which workers.
 
-    :param waiting: jobs, in the order in which each team wants them.
-    :param running: jobs that run.
+    :param waiting: waiting jobs, in the order preferred by each team.
+    :param running: running jobs.
     :param workers: workers that may be used.
     :param teams: all teams.
-    :returns: the starts in order, and the jobs that can never run.
+    :returns: the starts in order, and the jobs that can't run.
     """
     total = _sum_sizes(worker.capacity for worker in workers)
     parked, placeable = _park_unplaceable(waiting, workers, {team.name: team for team in teams})
@@ -114,11 +121,11 @@
 
 def dominant_share(used: Size, total: Size, share: float) -> float:
     """
-    Give a team's use by its weight.
+    Return the weighted dominant share of a team.
 
-    :param used: what its jobs need.
-    :param total: the fleet.
-    :param share: the team's weight.
+    :param used: resources reserved by the team's jobs.
+    :param total: total resources of the fleet.
+    :param share: weight of the team.
     :returns: the dominant share divided by the weight.
     """
     return used.dominant_fraction(total) / share
@@ -197,7 +204,7 @@
 
     victims = find_victims(preempt_index, index.free, job.size, may_preempt)
     if victims is None or len({victim.team for victim in victims}) < len(victims) > 1:
-        # Several jobs of one team could leave it less than its share.
+        # Each victim is checked alone, so several of one team could leave it less than its share.
         return
     for victim in victims:
         if victim.team in queues:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement_fit.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement_fit.py
@@ -1,5 +1,5 @@
 """
-Workers ordered by their free room, to find the tightest one that a job fits into.
+An index of workers by free resources, for best-fit placement of jobs.
 """
 
 from collections.abc import Iterable
@@ -9,7 +9,8 @@
 
 from ._jobs import Size, Worker
 
-# Workers looked at for one job, from the tightest on, before the roomiest ones are tried.
+# Workers examined per job in each direction: upwards from the tightest fit, then downwards from the
+# worker with the most free cores.
 MAX_PROBED_WORKERS = 32
 
 
@@ -17,9 +18,9 @@
     """
     Workers that may start jobs.
 
-    :param free: free room by worker.
-    :param starts_left: jobs that may still be started at each.
-    :param by_free_cores: ids by free processors.
+    :param free: free resources by worker.
+    :param starts_left: number of jobs that may still be started, by worker.
+    :param by_free_cores: ids of workers, sorted by free cores.
     """
 
     free: dict[str, Size]
@@ -29,9 +30,9 @@
 
 def build_fit_index(workers: Iterable[Worker]) -> FitIndex:
     """
-    Order workers by their free room.
+    Build an index of the workers that may start jobs.
 
-    :param workers: the workers.
+    :param workers: workers that may be used.
     :returns: the index.
     """
     eligible = [worker for worker in workers if worker.starts_left > 0]
@@ -44,11 +45,11 @@
 
 def find_worker(index: FitIndex, size: Size) -> str | None:
     """
-    Find a worker that a job fits into, leaving large gaps for large jobs.
+    Find a worker that fits a job, preferring tight fits to keep capacity free for large jobs.
 
-    :param index: the workers.
-    :param size: what the job needs.
-    :returns: id of a worker, or ``None``.
+    :param index: index of the workers.
+    :param size: resources that the job needs.
+    :returns: id of a worker, or ``None`` when none was found.
     """
     first = index.by_free_cores.bisect_key_left((size.cores, ""))
     count = len(index.by_free_cores)
@@ -67,11 +68,11 @@
 
 def reserve_resources(index: FitIndex, worker: str, size: Size) -> None:
     """
-    Take a job's room at a worker.
+    Reserve the resources of a job on a worker.
 
-    :param index: changed in place.
+    :param index: updated in place.
     :param worker: id of the worker.
-    :param size: what the job needs.
+    :param size: resources that the job needs.
     """
     index.by_free_cores.remove(worker)
     index.free[worker] = index.free[worker].minus(size)
@@ -82,9 +83,9 @@
 
 def exclude_worker(index: FitIndex, worker: str) -> None:
     """
-    Give a worker no further job in this plan, except by preemption.
+    Exclude a worker from further placement in this plan, except by preemption.
 
-    :param index: changed in place.
+    :param index: updated in place.
     :param worker: id of the worker.
     """
     index.by_free_cores.discard(worker)
@@ -92,12 +93,15 @@
 
 def replace_preempted(index: FitIndex, worker: str, freed: Size, size: Size) -> None:
     """
-    Take the room of jobs that make place, which is not free before they have stopped.
+    Replace preempted jobs by a new job on a worker.
 
-    :param index: changed in place.
+    The worker gets no other job in this plan without preemption, since the resources are not free
+    until the preempted jobs have stopped.
+
+    :param index: updated in place.
     :param worker: id of the worker.
-    :param freed: what the jobs need that make place.
-    :param size: what the new job needs.
+    :param freed: resources of the preempted jobs.
+    :param size: resources that the new job needs.
     """
     exclude_worker(index, worker)
     index.free[worker] = index.free[worker].plus(freed).minus(size)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement_preempt.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement_preempt.py
@@ -1,5 +1,5 @@
 """
-Finds jobs that make place for urgent work.
+Selects jobs to preempt for urgent jobs.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -9,19 +9,19 @@
 from ._jobs import RunningJob, Size
 from ._placement_fit import FitIndex
 
-# A job that has made place so often is left alone.
+# A job that was preempted this often is not preempted again.
 MAX_PREEMPTIONS = 3
-# Workers looked at for one urgent job.
+# Workers examined per urgent job.
 MAX_PROBED_WORKERS = 256
 
 
 class PreemptIndex(msgspec.Struct):
     """
-    Jobs that may make place, by worker.
+    Preemptible jobs by worker.
 
-    :param jobs: such jobs of each worker.
-    :param workers: workers that have such jobs.
-    :param next_position: worker at which the next search begins.
+    :param jobs: preemptible jobs of each worker.
+    :param workers: ids of workers with preemptible jobs.
+    :param next_position: position in ``workers`` at which the next search starts.
     """
 
     jobs: dict[str, list[RunningJob]]
@@ -31,10 +31,10 @@
 
 def build_preempt_index(running: Sequence[RunningJob], fit: FitIndex) -> PreemptIndex:
     """
-    Sort out the jobs that may make place.
+    Build an index of the preemptible jobs.
 
-    :param running: jobs that run.
-    :param fit: workers that may be used.
+    :param running: running jobs.
+    :param fit: index of workers that may be used.
     :returns: the index.
     """
     jobs: dict[str, list[RunningJob]] = {}
@@ -52,13 +52,15 @@
     may_preempt: Callable[[RunningJob], bool],
 ) -> list[RunningJob] | None:
     """
-    Find the fewest jobs of one worker that make place for an urgent one.
+    Find a small set of jobs on one worker whose preemption fits an urgent job.
 
-    :param index: jobs that may make place; what is found leaves it.
-    :param free: free room by worker.
-    :param size: what the urgent job needs.
-    :param may_preempt: tells whether a job's team has more than its share.
-    :returns: the jobs, or ``None``.
+    The search examines a bounded number of workers and starts one worker later each time.
+
+    :param index: preemptible jobs; the selected jobs are removed.
+    :param free: free resources by worker.
+    :param size: resources that the urgent job needs.
+    :param may_preempt: returns whether the fair shares of the teams permit preempting a job.
+    :returns: the jobs to preempt, or ``None`` when there are none.
     """
     best: list[RunningJob] | None = None
     for step in range(min(MAX_PROBED_WORKERS, len(index.workers))):
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_workers_health.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_workers_health.py
@@ -1,9 +1,9 @@
 """
-Workers that fail what they start: judged by evidence over jobs, templates and teams.
+Health of workers: quarantine of workers that fail jobs.
 
-Each outcome is weighed against how often its template fails on other workers, so that a bad
-template or a bad team brings no worker into quarantine. A worker that has not yet done anything
-right gets few jobs at a time, so that one that fails at once does not swallow a queue.
+Each outcome is weighed against the failure rate of its template on other workers, so that a faulty
+template or team does not quarantine workers. A worker without a recorded success gets few jobs at
+a time, so that a worker that fails jobs immediately does not drain a queue.
 """
 
 from collections import deque
@@ -14,31 +14,34 @@
 import msgspec
 
 MAX_OUTCOMES = 16
-# Chance that a broken worker fails a job.
+# Probability that a broken worker fails a job.
 BROKEN_FAILURE_RATE = 0.95
-# What is believed of a template before it was seen, as jobs and failures.
+# Prior of the failure rate of a template, as counts of jobs and failures.
 PRIOR_JOBS = 20.0
 PRIOR_FAILURES = 1.0
-# Odds at which a worker counts as broken.
+# Log odds from which a worker is considered broken.
 QUARANTINE_LOG_ODDS = log(1000.0)
-# Failures of one template that count while it has not succeeded elsewhere.
+# Maximum failures counted for a template with fewer than PROVEN_SUCCESSES on other workers.
 MAX_UNPROVEN_FAILURES = 2
 PROVEN_SUCCESSES = 10
-# Largest part of a pool in quarantine; more at once have another cause.
+# Maximum fraction of a pool in quarantine; more failures at once have a common cause.
 MAX_QUARANTINED_FRACTION = 0.1
 BASE_QUARANTINE_S = 300.0
 MAX_QUARANTINE_S = 86_400.0
 TRIAL_SUCCESSES = 3
+# Concurrent jobs on a worker without outcomes.
 UNPROVEN_STARTS = 2
+# Concurrent jobs on a worker that is on trial, or whose last job failed.
 TRIAL_STARTS = 1
 UNRESTRICTED_STARTS = 1_000
 
 
 class Outcome(NamedTuple):
     """
-    How a job ended at a worker.
+    The outcome of a job on a worker.
 
-    :param template: ``WORKSPACE/TEMPLATE``.
+    :param template: ``WORKSPACE/TEMPLATE`` of the job.
+    :param failed: whether the job failed.
     """
 
     template: str
@@ -47,7 +50,7 @@
 
 class TemplateStats(msgspec.Struct):
     """
-    How often jobs of a template ended, and failed, over all workers.
+    Counts of the finished and the failed jobs of a template.
     """
 
     jobs: int = 0
@@ -56,12 +59,12 @@
 
 class WorkerHealth(msgspec.Struct):
     """
-    Evidence about one worker.
+    Health of one worker.
 
-    :param outcomes: its last outcomes.
-    :param quarantined_until_s: time until which it gets no job, or ``None``.
-    :param quarantines: times in a row that it was taken out.
-    :param trial_jobs_left: jobs that must succeed, one by one, before it gets its full work.
+    :param outcomes: its most recent outcomes.
+    :param quarantined_until_s: time until which it gets no jobs, or ``None`` outside of quarantine.
+    :param quarantines: number of quarantines since it last recovered.
+    :param trial_jobs_left: jobs that must succeed, one at a time, before it gets its full load.
     """
 
     outcomes: deque[Outcome] = msgspec.field(default_factory=lambda: deque(maxlen=MAX_OUTCOMES))
@@ -74,11 +77,11 @@
     health: WorkerHealth, templates: dict[str, TemplateStats], outcome: Outcome
 ) -> None:
     """
-    Take in how a job ended.
+    Record the outcome of a job.
 
-    :param health: the worker's evidence, changed in place.
-    :param templates: all templates, changed in place.
-    :param outcome: how the job ended.
+    :param health: health of the worker, updated in place.
+    :param templates: statistics of all templates, updated in place.
+    :param outcome: outcome of the job.
     """
     stats = templates.setdefault(outcome.template, TemplateStats())
     stats.jobs += 1
@@ -92,11 +95,11 @@
 
 def log_odds_broken(health: WorkerHealth, templates: Mapping[str, TemplateStats]) -> float:
     """
-    Weigh the evidence that a worker is broken.
+    Return the log odds that a worker is broken, from its recent outcomes.
 
-    :param health: the worker's evidence.
-    :param templates: all templates.
-    :returns: logarithm of the odds against a sound worker.
+    :param health: health of the worker.
+    :param templates: statistics of all templates.
+    :returns: natural logarithm of the odds of a broken worker to a healthy one.
     """
     own: dict[str, TemplateStats] = {}
     for outcome in health.outcomes:
@@ -114,14 +117,16 @@
     now_s: float,
 ) -> bool:
     """
-    Take a worker out when the evidence is strong and it is not one of many.
+    Quarantine a worker that is likely broken or failed its trial.
 
-    :param health: the worker's evidence, changed in place.
-    :param templates: all templates.
-    :param in_quarantine: workers of its pool that are out already.
-    :param pool_size: workers of its pool.
-    :param now_s: time.
-    :returns: whether it was taken out now.
+    The worker stays in use when too many workers of its pool are in quarantine already.
+
+    :param health: health of the worker, updated in place.
+    :param templates: statistics of all templates.
+    :param in_quarantine: number of workers of its pool that are in quarantine.
+    :param pool_size: number of workers of its pool.
+    :param now_s: current time, in seconds.
+    :returns: whether the worker was quarantined by this call.
     """
     if health.quarantined_until_s is not None:
         return False
@@ -140,11 +145,11 @@
 
 def end_quarantine(health: WorkerHealth, now_s: float) -> bool:
     """
-    Put a worker on trial when its time in quarantine has passed.
+    Put a worker on trial when its quarantine has expired.
 
-    :param health: the worker's evidence, changed in place.
-    :param now_s: time.
-    :returns: whether it was released now.
+    :param health: health of the worker, updated in place.
+    :param now_s: current time, in seconds.
+    :returns: whether the quarantine was ended by this call.
     """
     if health.quarantined_until_s is None or now_s < health.quarantined_until_s:
         return False
@@ -156,11 +161,11 @@
 
 def starts_allowed(health: WorkerHealth, unproven_running: int) -> int:
     """
-    Give the jobs that may be started at a worker now.
+    Return the number of jobs that may be started on a worker now.
 
-    :param health: the worker's evidence.
-    :param unproven_running: jobs that run there already.
-    :returns: a number, small while the worker has not shown that it works.
+    :param health: health of the worker.
+    :param unproven_running: number of jobs that run there already.
+    :returns: the number of starts, small while no recent success shows that the worker is healthy.
     """
     if health.quarantined_until_s is not None:
         return 0
--- a/packages/eelgrassdrum-core/tests/test_config_documents.py
+++ b/packages/eelgrassdrum-core/tests/test_config_documents.py
@@ -1,5 +1,5 @@
 """
-Documents: templates, checks and the decoder of the fold.
+Tests of configuration documents: templates, validation and decoding of records.
 """
 
 import copy
@@ -108,7 +108,7 @@
 
 
 def test_defaults_are_filled_in_and_the_budget_becomes_a_count(document: dict[str, Any]) -> None:
-    """A rendered document holds each field that the reducer reads."""
+    """A rendered document contains every field that the reducer reads."""
     assert document["services"][0]["max_unavailable"] == 2
     assert document["services"][0]["shared"] is False
     assert document["teams"][0]["reserved"] == 0
@@ -116,12 +116,12 @@
 
 
 def test_a_rendered_document_decodes_to_itself(document: dict[str, Any]) -> None:
-    """Rendering is idempotent, so that every instance folds what the operator saw."""
+    """Decoding a rendered document is idempotent, so every instance folds what the operator saw."""
     assert decode_document(body(document)) == document
 
 
 def test_every_fault_is_reported_with_its_line() -> None:
-    """Unknown, missing, mistyped and out-of-range fields are told at once."""
+    """Unknown, missing, mistyped and out-of-range fields are reported together."""
     text = WORKSPACE.replace("executors = 6", 'executors = "six"')
     text = text.replace("max_queued = 10\n", "max_queue = 10\n", 1)
     text = text.replace("share = 2", "share = 0").replace("limit = 8", 'limit = "8"')
@@ -135,14 +135,14 @@
 
 
 def test_broken_toml_is_reported_with_its_line() -> None:
-    """A syntax error names the line of the error."""
+    """A syntax error is reported with its line number."""
     assert fault_locations(WORKSPACE.replace('name = "judging"', "name = judging")) == [
         ("w.toml", 4, "")
     ]
 
 
 def test_each_contradiction_inside_a_document_is_refused(document: dict[str, Any]) -> None:
-    """Documents whose parts contradict each other are refused at the path of the fault."""
+    """Inconsistent documents are rejected with the path of the fault."""
     service = {"name": "judging", "executors": 6}
     pool = {"name": "p", "role": "endpoint", "service": "judging"}
     size = {"min": 0, "target": 2, "max": 4}
@@ -166,7 +166,7 @@
     ]
     for field, entries, path in changes:
         changed = copy.deepcopy(document)
-        # Queues and teams keep the fields of the first; services and pools are given whole.
+        # Queues and teams extend the first entry; services and pools are complete entries.
         first = document[field][0] if field in ("queues", "teams") else {}
         changed[field] = [{**first, **entry} for entry in entries]
         decoded = decode_document(body(changed))
@@ -178,7 +178,7 @@
 
 
 def test_a_budget_of_zero_needs_a_pool_that_can_grow(document: dict[str, Any]) -> None:
-    """A service that may lose nothing can be maintained only when a pool may hold one more."""
+    """A service with a budget of zero is valid only when a pool may grow by one instance."""
     service = {"name": "judging", "executors": 6, "max_unavailable": 0}
     for largest, is_refused in ((6, True), (7, False)):
         pool = {"name": "p", "role": "endpoint", "service": "judging"}
@@ -188,7 +188,7 @@
 
 
 def test_references_to_the_fleet_are_checked_across_documents(document: dict[str, Any]) -> None:
-    """A workspace may use the fleet's shared services and no others."""
+    """A workspace may reference only shared services of the fleet."""
     fleet = decode_document(body(FLEET))
     assert isinstance(fleet, dict)
     assert list(check_across({"rose": document, "fleet": fleet})) == []  # type: ignore[dict-item]
@@ -199,7 +199,7 @@
 
 
 def test_a_fleet_needs_distinct_zones_and_a_weight() -> None:
-    """A zone named twice and weights that are all 0 are refused."""
+    """Duplicate zones and weights that are all 0 are rejected."""
     weights = dict.fromkeys(FLEET["measures"], 0)
     for change, path in (({"zones": ["a", "a"]}, "zones[1]"), ({"measures": weights}, "measures")):
         decoded = decode_document(body({**FLEET, **change}))
@@ -208,7 +208,7 @@
 
 
 def test_parameters_keep_their_types() -> None:
-    """A whole use takes the value with its type; a use inside a string takes its text."""
+    """A lone placeholder keeps the type of its value; one inside a longer string becomes text."""
     rendered = render(Source("t.toml", TEMPLATE), Source("p.toml", PARAMETERS)).document
     assert rendered is not None
     assert rendered["name"] == "rose-show"
@@ -216,7 +216,7 @@
 
 
 def test_faulty_parameters_are_found_in_the_file_that_sets_them() -> None:
-    """Unknown, missing, mistyped and refused parameters each name their file and line."""
+    """Unknown, missing, mistyped and invalid parameters are reported with their file and line."""
     faulty = PARAMETERS.replace('show = "rose"', 'show = "moss"\nshows = 1\nexecutors = true')
     assert fault_locations(TEMPLATE, faulty) == [
         ("p.toml", 4, "parameters.show"),
@@ -234,7 +234,7 @@
 
 
 def test_declarations_bound_their_parameters() -> None:
-    """Bounds hold for numbers and for lengths of lists, and for defaults too."""
+    """Bounds apply to numbers, lengths of lists and default values."""
     for setting in ("executors = 9", "executors = 3"):
         faulty = PARAMETERS.replace('show = "rose"', f'show = "rose"\n{setting}')
         assert fault_locations(TEMPLATE, faulty) == [("p.toml", 5, "parameters.executors")]
@@ -245,7 +245,7 @@
 
 
 def test_boolean_is_rejected_as_a_number() -> None:
-    """A value of another type is refused for its type, whatever bounds there are."""
+    """A value of the wrong type is rejected for its type, regardless of bounds."""
     template = TEMPLATE.replace("min = 4\n", "")
     faulty = PARAMETERS.replace('show = "rose"', 'show = "rose"\nexecutors = true')
     [fault] = render(Source("t.toml", template), Source("p.toml", faulty)).faults
@@ -253,7 +253,7 @@
 
 
 def test_list_parameter_cannot_be_part_of_a_string() -> None:
-    """A list can be used whole only."""
+    """The placeholder of a list parameter must be the whole string."""
     template = TEMPLATE.replace("${show}-show", "${show}-${teams}")
     [fault] = render(Source("t.toml", template), Source("p.toml", PARAMETERS)).faults
     assert (fault.line, fault.path) == (1, "name")
@@ -261,7 +261,7 @@
 
 
 def test_decoder_rejects_invalid_bodies(document: dict[str, Any]) -> None:
-    """Bodies of any shape are refused without an exception."""
+    """Malformed bodies are rejected without an exception."""
     good = body(document)
     bad: list[Any] = [None, [], "x", {}, {**good, "name": "fern"}, {**good, "extra": 1}]
     bad += [{**good, "document": value} for value in (None, 3, [], {"name": 7}, {"name": "fleet"})]
@@ -271,7 +271,7 @@
 
 
 def test_grant_must_match_its_workspace(document: dict[str, Any]) -> None:
-    """A key is granted to a known team for keyed queues only."""
+    """A key can be granted only to a known team and for keyed queues."""
     grant = {"key_id": "k1", "workspace": "rose", "team": "judges", "digest": "0" * 64}
     for team, queues, paths in (
         ("judges", ["scores"], []),
--- a/packages/eelgrassdrum-core/tests/test_endpoints.py
+++ b/packages/eelgrassdrum-core/tests/test_endpoints.py
@@ -1,5 +1,5 @@
 """
-Endpoints: leaving, ejection, re-entry and the choice among them.
+Tests of endpoints: leaving, probes, ejection, trial and selection.
 """
 
 from eelgrassdrum_core import Identity, Sender, State, Tuning, effects, events, new_state, reduce
@@ -16,7 +16,7 @@
 
 def make_state() -> State:
     """
-    Give an instance in zone a that knows two endpoints of its zone and one of another.
+    Build the state of an instance in zone a with two local endpoints and one in another zone.
     """
     identity = Identity(Sender("entry-a1", 1, "a"), "127.0.0.1:1", "127.0.0.1:2")
     state = new_state(identity, Tuning())
@@ -26,7 +26,7 @@
 
 def chosen_endpoint(state: State) -> str:
     """
-    Give the id of the endpoint that the next attempt would go to.
+    Return the id of the endpoint chosen for the next attempt, or an empty string.
     """
     endpoint = endpoints.choose_endpoint(state, SERVICE)
     return "" if endpoint is None else endpoint.id
@@ -34,7 +34,7 @@
 
 def fail(state: State, endpoint: str, times: int) -> None:
     """
-    Let an endpoint fail much sooner than others answer.
+    Record failures of an endpoint that are much faster than the mean response.
     """
     for _ in range(times):
         health.note_answer(state, endpoint, True, 0.001, 0.1)
@@ -45,8 +45,7 @@
 
 def test_leaving_state_lasts_until_a_newer_incarnation(state: State) -> None:
     """
-    After a refusal that says leaving, a list that still says live changes nothing; a newer
-    incarnation in the list does.
+    A stale list does not reset the leaving state; a list with a newer incarnation does.
     """
     list(health.note_leaving(state, "ep-a1"))
     reduce(state, 2.0, events.InstancesListed(LISTED))
@@ -58,7 +57,7 @@
 
 def test_endpoint_leaving_is_accepted_from_a_peer(state: State) -> None:
     """
-    An endpoint that a peer saw leaving gets no new work.
+    An endpoint that a peer reports as leaving gets no new work.
     """
     sender = Sender("entry-a2", 1, "a")
     reduce(state, 2.0, events.PeerReceived(sender, EndpointLeaving("ep-a1", 0)))
@@ -67,7 +66,7 @@
 
 def test_new_work_needs_a_recent_healthy_probe(state: State) -> None:
     """
-    An endpoint whose probes show nothing any more gets no new work.
+    An endpoint without a healthy probe within the liveness TTL gets no new work.
     """
     _, produced = reduce(state, 2.0, events.Ticked())
     probed = {e.endpoint for e in produced if isinstance(e, effects.ProbeEndpoint)}
@@ -82,7 +81,7 @@
 
 def test_other_zone_is_used_only_when_the_local_zone_is_full(state: State) -> None:
     """
-    Work goes to another zone when the own endpoints are full, and the other's was seen live.
+    Work goes to another zone only when local endpoints are full and a remote one is live.
     """
     reduce(state, 1.1, events.EndpointProbed("ep-b1", True))
     state.endpoints.endpoints["ep-b1"].last_healthy_probe_s = 1.0
@@ -97,7 +96,8 @@
 
 def test_fast_failing_endpoint_is_ejected(state: State) -> None:
     """
-    An endpoint that fails everything at once is taken out, and tried with one attempt at a time.
+    An endpoint that fails fast is ejected, not preferred for its free slots, and then gets one
+    attempt at a time.
     """
     fail(state, "ep-a1", 3)
     bad = state.endpoints.endpoints["ep-a1"]
@@ -113,7 +113,7 @@
 
 def test_not_all_endpoints_are_ejected(state: State) -> None:
     """
-    When both endpoints of the zone fail, one at least keeps its work.
+    When both endpoints of the zone fail, at least one stays in use.
     """
     for _ in range(10):
         fail(state, "ep-a1", 1)
@@ -124,7 +124,7 @@
 
 def test_trial_ends_after_successes(state: State) -> None:
     """
-    After some answers in a row an ejected endpoint gets its full work again.
+    An ejected endpoint recovers after consecutive successful attempts.
     """
     fail(state, "ep-a1", 3)
     for _ in range(health.TRIAL_ATTEMPTS):
@@ -135,7 +135,7 @@
 
 def test_failed_probes_eject_an_endpoint_until_a_healthy_probe(state: State) -> None:
     """
-    Two probes without an answer eject; the next answer on a new connection ends that at once.
+    Two consecutive failed probes eject an endpoint; a healthy probe ends the ejection.
     """
     state.endpoints.endpoints["ep-a1"].last_probe_s = 1.0
     reduce(state, 1.5, events.EndpointProbed("ep-a1", False))
@@ -147,7 +147,7 @@
 
 def test_a_new_endpoint_starts_slowly(state: State) -> None:
     """
-    Beside older ones a new endpoint gets a growing part of its slots.
+    A new endpoint beside older ones gets a growing fraction of its slots.
     """
     newcomer = LISTED[0]._replace(id="ep-a3", address="a3")
     reduce(state, 20.0, events.InstancesListed((*LISTED, newcomer)))
--- a/packages/eelgrassdrum-core/tests/test_placement.py
+++ b/packages/eelgrassdrum-core/tests/test_placement.py
@@ -1,5 +1,5 @@
 """
-Placement of jobs, sizes learned from usage, and workers that fail what they start.
+Tests of job placement, usage estimates and quarantine of failing workers.
 """
 
 import random
@@ -27,7 +27,7 @@
 
 def team(name: str, *, share: float = 1.0, limit: int = 100, used: Size = ZERO_SIZE) -> TeamUsage:
     """
-    Describe a team whose jobs are all small.
+    Build the usage of a team whose running jobs are all small.
     """
     return TeamUsage(name, share, limit, round(used.cores / SMALL.cores), used)
 
@@ -36,7 +36,7 @@
     plan: Placement, waiting: list[WaitingJob], running: list[RunningJob], workers: list[Worker]
 ) -> list[str]:
     """
-    Name the workers on which a plan puts more than they hold.
+    Return the workers whose capacity a plan exceeds.
     """
     sizes = {job.id: job.size for job in waiting}
     running_by_id = {job.id: job for job in running}
@@ -50,7 +50,7 @@
 
 
 def test_plan_respects_worker_capacity_and_team_limits() -> None:
-    """Whatever waits and runs, a plan fits the workers and the teams' limits."""
+    """Plans for random jobs respect the capacity of workers and the upper limits of teams."""
     rng = random.Random(5)
     for _ in range(60):
         running = [
@@ -80,7 +80,7 @@
 
 
 def test_overcommitted_workers_reports_a_full_worker() -> None:
-    """If a plan put two large jobs on one worker, the check would say so."""
+    """The check reports a worker on which a plan places two large jobs."""
     waiting = [WaitingJob(f"q{n}", "a", Size(12.0, 8.0)) for n in range(2)]
     workers = [Worker("w0", "r", SHAPE, ZERO_SIZE, 9)]
     plan = place_jobs(waiting, [], workers, [team("a")])
@@ -90,7 +90,7 @@
 
 
 def test_the_fleet_is_shared_by_weight() -> None:
-    """Of two teams that could each fill the fleet, the one of twice the weight gets twice."""
+    """Of two teams that could each fill the fleet, one with twice the weight gets twice as much."""
     waiting = [WaitingJob(f"{name}{n}", name, SMALL) for n in range(60) for name in "ab"]
     workers = [Worker(f"w{n}", "r", SHAPE, ZERO_SIZE, 9) for n in range(9)]
     plan = place_jobs(waiting, [], workers, [team("a", share=2.0), team("b")])
@@ -99,7 +99,7 @@
 
 
 def test_unplaceable_jobs_are_parked_with_a_reason() -> None:
-    """Too large, no limit and no team are parked with their reasons; a full fleet parks nothing."""
+    """Jobs too large, without limit or of no known team are parked; a full fleet parks none."""
     waiting = [
         WaitingJob("large", "a", Size(17.0, 1.0)),
         WaitingJob("accelerated", "a", Size(1.0, 1.0, 2.0)),
@@ -119,7 +119,7 @@
 
 
 def test_urgent_job_preempts_only_a_preemptible_job() -> None:
-    """An urgent job stops one that can go on later, and none that is urgent or can't."""
+    """An urgent job preempts no job that is urgent, can't checkpoint or was preempted often."""
     running = [
         RunningJob("own", "a", "w0", SMALL, urgent=True),
         RunningJob("fixed", "b", "w0", SMALL, can_checkpoint=False),
@@ -134,7 +134,7 @@
 
 
 def test_preemption_leaves_other_teams_their_share() -> None:
-    """A team that has no more than its share keeps its jobs, and the urgent one's own give way."""
+    """Teams at their fair share keep their jobs; the urgent job preempts its own team's."""
     running = [
         RunningJob(f"{name}{n}", name, f"w{n % 2}", SMALL) for n in range(4) for name in "ab"
     ]
@@ -147,7 +147,7 @@
 
 
 def test_worker_is_reserved_for_a_large_job() -> None:
-    """Small jobs don't fill the last worker while a large one has waited long."""
+    """A worker is reserved for a large job that has waited long, and small jobs don't fill it."""
     workers = [Worker("w0", "r", SHAPE, SMALL, 9)]
     waiting = [
         WaitingJob("large", "a", SHAPE._replace(accelerators=0.0), waited_s=100.0),
@@ -159,7 +159,7 @@
 
 
 def test_sizes_are_estimated_from_usage() -> None:
-    """The declared size counts until enough jobs were seen, and then no more."""
+    """The estimate replaces the declared size once there are enough samples."""
     history, declared = UsageHistory(), Size(30.0, 90.0, 2.0)
     assert estimate(None, declared) == declared
     for number in range(MIN_SAMPLES):
@@ -172,7 +172,7 @@
     health: WorkerHealth, templates: dict[str, TemplateStats], names: list[str], now_s: float
 ) -> int:
     """
-    Fail jobs at a worker until it is taken out, and count them.
+    Fail jobs on a worker until it is quarantined, and return their number, or 0.
     """
     for number, name in enumerate(names, start=1):
         note_outcome(health, templates, Outcome(name, True))
@@ -182,7 +182,7 @@
 
 
 def test_failing_worker_is_quarantined_and_put_on_trial() -> None:
-    """It fails few jobs, then gets none, then one at a time, and longer pauses when it fails."""
+    """A quarantined worker returns on trial, and a failed trial doubles its quarantine."""
     health, templates = WorkerHealth(), {}
     assert starts_allowed(health, 2) == 0
     assert 0 < fail(health, templates, ["t1", "t2", "t3", "t4", "t5"], 0.0) <= 5
@@ -199,7 +199,7 @@
 
 
 def test_bad_template_quarantines_no_worker() -> None:
-    """A template that fails everywhere is no evidence, and many suspects at once are not either."""
+    """Neither a template that fails everywhere nor too many suspects at once cause quarantine."""
     templates: dict[str, TemplateStats] = {}
     workers = [WorkerHealth() for _ in range(40)]
     for _ in range(6):
