--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_checks.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_checks.py
@@ -106,9 +106,9 @@
         yield "no executor may be down and no pool can grow, so maintenance is impossible"
 
 
-def _budget_count(service: Service, otherwise: int) -> int:
+def _budget_count(service: Service, default: int) -> int:
     if "availability_budget" not in service:
-        return otherwise
+        return default
     return max_unavailable_count(service["availability_budget"], service["executors"])
 
 
@@ -150,8 +150,8 @@
     for field in ("queues", "pools"):
         for position, entry in enumerate(fields.get(field, [])):
             name = entry["service"]
-            elsewhere = name.startswith(_FLEET_PREFIX) and document["name"] != FLEET
-            if name and name not in known and not elsewhere:
+            in_fleet_document = name.startswith(_FLEET_PREFIX) and document["name"] != FLEET
+            if name and name not in known and not in_fleet_document:
                 yield (field, position, "service"), f"no service {name!r} in this document"
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_template.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_template.py
@@ -143,7 +143,9 @@
         if key not in (TEMPLATE, PARAMETERS)
     ]
     faults += [
-        parameters_file.fault((PARAMETERS, name), f"{template.file} does not declare this parameter")
+        parameters_file.fault(
+            (PARAMETERS, name), f"{template.file} does not declare this parameter"
+        )
         for name in settings
         if name not in declared
     ]
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints.py
@@ -81,10 +81,10 @@
         for endpoint in usable
         if endpoint.in_flight < _max_in_flight(state, endpoint, own.zone, oldest_s)
     ]
-    return pick(state, free)
+    return pick_least_loaded(state, free)
 
 
-def pick(state: State, free: list[Endpoint]) -> Endpoint | None:
+def pick_least_loaded(state: State, free: list[Endpoint]) -> Endpoint | None:
     """
     Pick the least loaded of the given endpoints, preferring the local zone.
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_jobs.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_jobs.py
@@ -65,7 +65,7 @@
         :returns: the fraction of the dominant resource.
         """
         pairs = zip(self, total, strict=True)
-        return max((need / whole for need, whole in pairs if whole > 0), default=0.0)
+        return max((need / capacity for need, capacity in pairs if capacity > 0), default=0.0)
 
 
 ZERO_SIZE = Size(0.0, 0.0, 0.0)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_workers_health.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_workers_health.py
@@ -101,12 +101,14 @@
     :param templates: statistics of all templates.
     :returns: natural logarithm of the odds of a broken worker to a healthy one.
     """
-    own: dict[str, TemplateStats] = {}
+    worker_stats: dict[str, TemplateStats] = {}
     for outcome in health.outcomes:
-        stats = own.setdefault(outcome.template, TemplateStats())
+        stats = worker_stats.setdefault(outcome.template, TemplateStats())
         stats.jobs += 1
         stats.failures += outcome.failed
-    return sum(_log_likelihood_ratio(stats, templates[name]) for name, stats in own.items())
+    return sum(
+        _log_likelihood_ratio(stats, templates[name]) for name, stats in worker_stats.items()
+    )
 
 
 def quarantine_if_broken(
@@ -178,12 +180,12 @@
     return UNRESTRICTED_STARTS
 
 
-def _log_likelihood_ratio(own: TemplateStats, overall: TemplateStats) -> float:
-    jobs, failures = overall.jobs - own.jobs, overall.failures - own.failures
+def _log_likelihood_ratio(worker_stats: TemplateStats, overall: TemplateStats) -> float:
+    jobs, failures = overall.jobs - worker_stats.jobs, overall.failures - worker_stats.failures
     rate = (failures + PRIOR_FAILURES) / (jobs + PRIOR_JOBS)
-    failed = own.failures
+    failed = worker_stats.failures
     if jobs - failures < PROVEN_SUCCESSES:
         failed = min(failed, MAX_UNPROVEN_FAILURES)
-    succeeded = own.jobs - own.failures
+    succeeded = worker_stats.jobs - worker_stats.failures
     success_evidence = succeeded * log((1.0 - BROKEN_FAILURE_RATE) / (1.0 - rate))
     return failed * log(BROKEN_FAILURE_RATE / rate) + success_evidence
--- a/packages/eelgrassdrum-core/tests/test_config_documents.py
+++ b/packages/eelgrassdrum-core/tests/test_config_documents.py
@@ -99,8 +99,8 @@
 
 
 def fault_locations(text: str, parameters: str | None = None) -> list[tuple[str, int, str]]:
-    given = Source("p.toml", parameters) if parameters is not None else None
-    faults = render(Source("w.toml", text), given).faults
+    parameters_source = Source("p.toml", parameters) if parameters is not None else None
+    faults = render(Source("w.toml", text), parameters_source).faults
     return [(fault.file, fault.line, fault.path) for fault in faults]
 
 
