--- a/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/bench/_bench_endpoints.py
+++ b/packages/eelgrassdrum-testing/src/eelgrassdrum_testing/bench/_bench_endpoints.py
@@ -55,7 +55,7 @@
     Compare the least loaded endpoint with the better of two random ones, one endpoint being slow.
     """
     least = run_load(SEEDS[0], RATE, LOAD_S, _slow_down)
-    with patch.object(endpoints, "pick", _pick_of_two):
+    with patch.object(endpoints, "pick_least_loaded", _pick_of_two):
         two = run_load(SEEDS[0], RATE, LOAD_S, _slow_down)
     yield measure("choice_mean_least_loaded", mean(least.waits_s), "s", baseline=mean(two.waits_s))
     yield measure(
