--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_template.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_template.py
@@ -243,7 +243,7 @@
     if full_match:
         origins[path] = full_match[1]
         return values[full_match[1]]
-    return _PLACEHOLDER.sub(lambda use: _format_value(values[use[1]]), value)
+    return _PLACEHOLDER.sub(lambda match: _format_value(values[match[1]]), value)
 
 
 def _format_value(value: Any) -> str:
