--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_template.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_config_template.py
@@ -1,9 +1,9 @@
 """
-Renders templates of documents with the parameters of one workspace.
+Renders document templates with the parameters of one workspace.
 
-A template declares its parameters under ``[parameters]`` and uses them as ``"${name}"``. A string
-that is nothing but one use takes the parameter's value with its type; a use inside a longer string
-is replaced by the value's text.
+A template declares its parameters under ``[parameters]`` and references them by placeholders
+``"${name}"``. A string that consists of one placeholder is replaced by the parameter's value and
+keeps its type; a placeholder inside a longer string is replaced by the value as text.
 """
 
 import re
@@ -26,12 +26,12 @@
 from ._config_validate import Locate, validate
 
 PARAMETERS = "parameters"
-"""The table of a template that declares parameters, and of a parameters file that sets them."""
+"""Table that declares parameters in a template, and sets them in a parameters file."""
 
 TEMPLATE = "template"
-"""The field of a parameters file that names its template."""
+"""Field of a parameters file that names its template."""
 
-_USE = re.compile(r"\$\{([^}]*)\}")
+_PLACEHOLDER = re.compile(r"\$\{([^}]*)\}")
 _TYPES: dict[str, tuple[type, ...]] = {
     "string": (str,),
     "int": (int,),
@@ -44,7 +44,7 @@
 
 class Declaration(TypedDict):
     """
-    A parameter as its template declares it.
+    The declaration of a parameter in a template.
     """
 
     type: Literal["string", "int", "float", "bool", "list"]
@@ -57,7 +57,7 @@
 
 class Rendering(NamedTuple):
     """
-    The outcome of a rendering: a document, or the faults that refuse it.
+    The result of rendering a template: a document, or the faults that prevent it.
     """
 
     document: Document | None
@@ -65,9 +65,9 @@
     locate: Locate
 
 
-class _Text(NamedTuple):
+class _ParsedFile(NamedTuple):
     """
-    A parsed file with the lines of its values.
+    A parsed file with the line numbers of its values.
     """
 
     file: str
@@ -76,7 +76,7 @@
 
     def fault(self, path: Path, message: str) -> Fault:
         """
-        Make a fault that stands in this file.
+        Build a fault located in this file.
         """
         return Fault(self.file, line_of(self.lines, path), dotted(path), message)
 
@@ -86,62 +86,66 @@
 
 def render(source: Source, parameters: Source | None = None) -> Rendering:
     """
-    Render and check a document.
+    Render and validate a document.
 
-    :param source: a document, or a template when parameters are given or all have defaults.
+    :param source: a document, or a template with its parameters given or defaulted.
     :param parameters: the parameters file of the workspace.
-    :returns: the document with defaults filled in, or every fault of both files.
+    :returns: the document with defaults filled in, or the faults in both files.
     """
     parsed = [_parse(item) for item in (source, parameters) if item is not None]
-    broken = [item for item in parsed if isinstance(item, Fault)]
-    texts = [item for item in parsed if isinstance(item, _Text)]
-    if broken:
-        return _refused(broken)
-    template = texts[0]
-    given = texts[1] if len(texts) > 1 else _Text(source.file, {}, {})
-    values, faults = _values(template, given)
+    parse_faults = [item for item in parsed if isinstance(item, Fault)]
+    parsed_files = [item for item in parsed if isinstance(item, _ParsedFile)]
+    if parse_faults:
+        return _rejected(parse_faults)
+    template = parsed_files[0]
+    parameters_file = parsed_files[1] if len(parsed_files) > 1 else _ParsedFile(source.file, {}, {})
+    values, faults = _resolve_parameters(template, parameters_file)
     if faults:
-        return _refused(faults)
+        return _rejected(faults)
     tree = {key: value for key, value in template.tree.items() if key != PARAMETERS}
     origins: dict[Path, str] = {}
     filled = _substitute(tree, values, (), origins)
-    locate = _locator(template, given, origins)
+    locate = _build_locate(template, parameters_file, origins)
     checked = validate(filled, locate)
     if isinstance(checked, list):
         return Rendering(None, checked, locate)
     return Rendering(checked, [], locate)
 
 
-def _refused(faults: list[Fault]) -> Rendering:
+def _rejected(faults: list[Fault]) -> Rendering:
     return Rendering(None, sorted(faults), lambda path: ("", 0))
 
 
-def _parse(source: Source) -> _Text | Fault:
+def _parse(source: Source) -> _ParsedFile | Fault:
     tree = parse_toml(source)
     if isinstance(tree, Fault):
         return tree
-    return _Text(source.file, tree, index_lines(source.text))
+    return _ParsedFile(source.file, tree, index_lines(source.text))
 
 
-def _values(template: _Text, given: _Text) -> tuple[dict[str, Any], list[Fault]]:
+def _resolve_parameters(
+    template: _ParsedFile, parameters_file: _ParsedFile
+) -> tuple[dict[str, Any], list[Fault]]:
     """
-    Work out the value of each parameter.
+    Resolve the value of each parameter.
 
-    :returns: the values, and every fault of the declarations, the values and the uses.
+    :returns: the values, and all faults in declarations, values and placeholders.
     """
-    declared = _declarations(template)
+    declared = _read_declarations(template)
     if isinstance(declared, list):
         return {}, declared
-    settings = given.tree.get(PARAMETERS, {})
+    settings = parameters_file.tree.get(PARAMETERS, {})
     if not isinstance(settings, dict):
-        return {}, [given.fault((PARAMETERS,), "not a table")]
+        return {}, [parameters_file.fault((PARAMETERS,), "not a table")]
     faults = [
-        given.fault((key,), "unknown field")
-        for key in given.tree
+        parameters_file.fault((key,), "unknown field")
+        for key in parameters_file.tree
         if key not in (TEMPLATE, PARAMETERS)
     ]
     faults += [
-        given.fault((PARAMETERS, name), f"{template.file} declares no such parameter")
+        parameters_file.fault(
+            (PARAMETERS, name), f"{template.file} does not declare this parameter"
+        )
         for name in settings
         if name not in declared
     ]
@@ -149,16 +153,16 @@
     for name, declaration in declared.items():
         if name in settings:
             values[name] = settings[name]
-            message = _refusal(declaration, settings[name])
-            faults += [given.fault((PARAMETERS, name), message)] if message else []
+            message = _check_value(declaration, settings[name])
+            faults += [parameters_file.fault((PARAMETERS, name), message)] if message else []
         elif "default" in declaration:
             values[name] = declaration["default"]
         else:
-            faults.append(given.fault((PARAMETERS, name), "missing parameter"))
-    return values, faults + list(_unknown_uses(template, declared))
+            faults.append(parameters_file.fault((PARAMETERS, name), "missing parameter"))
+    return values, faults + list(_check_placeholders(template, declared))
 
 
-def _declarations(template: _Text) -> dict[str, Declaration] | list[Fault]:
+def _read_declarations(template: _ParsedFile) -> dict[str, Declaration] | list[Fault]:
     try:
         declared = _DECLARATIONS.validate_python(
             template.tree.get(PARAMETERS, {}), strict=True, extra="forbid"
@@ -170,57 +174,59 @@
     for name, declaration in declared.items():
         if "default" not in declaration:
             continue
-        message = _refusal(declaration, declaration["default"])
+        message = _check_value(declaration, declaration["default"])
         if message:
             faults.append(template.fault((PARAMETERS, name, "default"), message))
     return faults or declared
 
 
-def _refusal(declaration: Declaration, value: Any) -> str:
+def _check_value(declaration: Declaration, value: Any) -> str:
     """
-    Check a value against its declaration.
+    Check a value against the declaration of its parameter.
 
-    :returns: why it is refused, or an empty string.
+    :returns: the error message, or an empty string when the value is valid.
     """
     kind = declaration["type"]
     is_bool = isinstance(value, bool)
     if not isinstance(value, _TYPES[kind]) or (is_bool and kind != "bool"):
         return f"{value!r} is not of the type {kind}"
     if "choices" in declaration and value not in declaration["choices"]:
-        return f"{value!r} is none of {declaration['choices']}"
+        return f"{value!r} is not one of {declaration['choices']}"
     measure: Any = len(value) if isinstance(value, str | list) else value
     if "min" in declaration and measure < declaration["min"]:
-        return f"{value!r} is below the minimum of {declaration['min']}"
+        return f"{value!r} is less than the minimum of {declaration['min']}"
     if "max" in declaration and measure > declaration["max"]:
-        return f"{value!r} is above the maximum of {declaration['max']}"
+        return f"{value!r} is greater than the maximum of {declaration['max']}"
     return ""
 
 
-def _unknown_uses(template: _Text, declared: Mapping[str, Declaration]) -> Iterator[Fault]:
-    for path, text in _strings(template.tree, ()):
+def _check_placeholders(
+    template: _ParsedFile, declared: Mapping[str, Declaration]
+) -> Iterator[Fault]:
+    for path, text in _iter_strings(template.tree, ()):
         if path[:1] == (PARAMETERS,):
             continue
-        for name in _USE.findall(text):
+        for name in _PLACEHOLDER.findall(text):
             if name not in declared:
-                yield template.fault(path, f"uses the undeclared parameter {name!r}")
-            elif declared[name]["type"] not in _SCALAR_TYPES and not _USE.fullmatch(text):
-                yield template.fault(path, f"the list {name!r} cannot be part of a string")
+                yield template.fault(path, f"undeclared parameter {name!r}")
+            elif declared[name]["type"] not in _SCALAR_TYPES and not _PLACEHOLDER.fullmatch(text):
+                yield template.fault(path, f"list parameter {name!r} cannot be part of a string")
 
 
-def _strings(value: Any, path: Path) -> Iterator[tuple[Path, str]]:
+def _iter_strings(value: Any, path: Path) -> Iterator[tuple[Path, str]]:
     if isinstance(value, str):
         yield path, value
     elif isinstance(value, dict):
         for key, item in value.items():
-            yield from _strings(item, (*path, key))
+            yield from _iter_strings(item, (*path, key))
     elif isinstance(value, list):
         for position, item in enumerate(value):
-            yield from _strings(item, (*path, position))
+            yield from _iter_strings(item, (*path, position))
 
 
 def _substitute(value: Any, values: dict[str, Any], path: Path, origins: dict[Path, str]) -> Any:
     """
-    Replace uses of parameters, and note which paths came whole from a parameter.
+    Replace placeholders, and record in ``origins`` the paths whose value is a parameter's value.
     """
     if isinstance(value, dict):
         return {
@@ -233,22 +239,24 @@
         ]
     if not isinstance(value, str):
         return value
-    whole = _USE.fullmatch(value)
-    if whole:
-        origins[path] = whole[1]
-        return values[whole[1]]
-    return _USE.sub(lambda use: _as_text(values[use[1]]), value)
+    full_match = _PLACEHOLDER.fullmatch(value)
+    if full_match:
+        origins[path] = full_match[1]
+        return values[full_match[1]]
+    return _PLACEHOLDER.sub(lambda match: _format_value(values[match[1]]), value)
 
 
-def _as_text(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value)
 
 
-def _locator(template: _Text, given: _Text, origins: dict[Path, str]) -> Locate:
+def _build_locate(
+    template: _ParsedFile, parameters_file: _ParsedFile, origins: dict[Path, str]
+) -> Locate:
     """
-    Make a function that finds values of the rendered document in the file that set them.
+    Build a function that maps a path of the rendered document to the file and line that set it.
     """
 
     def locate(path: Path) -> tuple[str, int]:
@@ -257,8 +265,8 @@
             if name is None:
                 continue
             origin: Path = (PARAMETERS, name, *path[end:])
-            if name in given.tree.get(PARAMETERS, {}):
-                return given.file, line_of(given.lines, origin)
+            if name in parameters_file.tree.get(PARAMETERS, {}):
+                return parameters_file.file, line_of(parameters_file.lines, origin)
             return template.file, line_of(template.lines, (PARAMETERS, name, "default"))
         return template.file, line_of(template.lines, path)
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_dispatch.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_dispatch.py
@@ -160,7 +160,7 @@
 
 def _dispatch_waiting(state: State, service: str) -> Iterator[object]:
     while True:
-        endpoint = _endpoints.choose(state, service)
+        endpoint = _endpoints.choose_endpoint(state, service)
         if endpoint is None:
             return
         req = _fair.pop(state.fair, service, lambda req: _may_start(state, req))
@@ -189,7 +189,7 @@
         req.is_counted = True
         _retries.record_first_attempt(state.overload, req.queue)
     endpoint.in_flight += 1
-    endpoint.used_s = state.now_s
+    endpoint.last_attempt_s = state.now_s
     state.requests.attempts[attempt_id] = Attempt(attempt_id, req, endpoint.id, state.now_s)
     team: Team | None = state.fold.config.teams.get(req.team)
     share = OPEN_SHARE if team is None else team.share
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints.py
@@ -1,5 +1,5 @@
 """
-Endpoints of each service, and the choice of one for an attempt.
+Endpoints of each service, and their selection for attempts.
 """
 
 import xxhash
@@ -8,63 +8,64 @@
 from ._events import ListedInstance
 from ._state import State
 
-# An endpoint that the list has left out is remembered, so that an older list cannot revive it.
-FORGET_AFTER_S = 60.0
-# An endpoint gets new work for this time after a probe that showed it live.
-LIVE_FOR_S = 4.5
-FIRST_PROBE_S = 1.0
-# A new endpoint gets its full work after this time when others of its service are older.
+# An endpoint missing from the list is kept for this time, so that a stale list can't restore it.
+UNLISTED_RETENTION_S = 60.0
+# An endpoint is eligible for new work for this time after a healthy probe was sent.
+LIVENESS_TTL_S = 4.5
+# A local endpoint without a healthy probe stays eligible for this time after its first probe.
+FIRST_PROBE_GRACE_S = 1.0
+# A new endpoint beside older ones of its service ramps up to its full slots over this time.
 SLOW_START_S = 5.0
-# Part of the slots of another zone's endpoint that one instance may use.
-REMOTE_PART = 4
+# An instance uses at most this fraction (1 / divisor) of the slots of a remote zone's endpoint.
+REMOTE_SLOT_DIVISOR = 4
 
 
 def update_from_list(
     state: EndpointState, listed: tuple[ListedInstance, ...], now_s: float
 ) -> None:
     """
-    Take over the platform's list, which lags.
+    Update the endpoints from the platform's instance list, which may be stale.
 
-    An endpoint that is leaving stays so until the list shows a newer incarnation of it.
+    A leaving endpoint keeps that state until the list contains a newer incarnation of it.
 
-    :param state: changed in place.
-    :param listed: all instances of the list.
-    :param now_s: time.
+    :param state: updated in place.
+    :param listed: all instances in the list.
+    :param now_s: current time, in seconds.
     """
     known = {item.id: item for item in listed if item.role == "endpoint"}
     for endpoint in list(state.endpoints.values()):
         endpoint.listed = endpoint.id in known
-        is_old = now_s - endpoint.listed_s > FORGET_AFTER_S
+        is_old = now_s - endpoint.last_listed_s > UNLISTED_RETENTION_S
         if not endpoint.listed and is_old and endpoint.in_flight == 0:
             del state.endpoints[endpoint.id]
     for item in known.values():
-        _take_item(state, item, now_s)
+        _apply_listed(state, item, now_s)
 
 
-def renew(endpoint: Endpoint, incarnation: int, now_s: float) -> None:
+def reset_for_incarnation(endpoint: Endpoint, incarnation: int, now_s: float) -> None:
     """
-    Forget what was known of an older incarnation.
+    Reset the state of an endpoint for a newer incarnation.
 
-    :param endpoint: changed in place.
+    :param endpoint: updated in place.
     :param incarnation: the newer incarnation.
-    :param now_s: time.
+    :param now_s: current time, in seconds.
     """
     endpoint.incarnation = incarnation
     endpoint.leaving = False
     endpoint.retry_at_s = 0.0
-    endpoint.since_s = now_s
+    endpoint.active_since_s = now_s
     endpoint.failure_rate = 0.0
     endpoint.samples = 0
     endpoint.ejections = 0
-    endpoint.trial_left = 0
-    endpoint.silent_probes = 0
+    endpoint.trial_attempts_left = 0
+    endpoint.failed_probes = 0
 
 
-def choose(state: State, service: str) -> Endpoint | None:
+def choose_endpoint(state: State, service: str) -> Endpoint | None:
     """
-    Choose the least loaded endpoint, in another zone only when the own zone has no room.
+    Choose the least loaded endpoint; remote zones are used only when the local zone is full.
 
-    :param state: the state.
+    :param state: state of this instance.
     :param service: ``WORKSPACE/SERVICE``.
     :returns: an endpoint with a free slot, or ``None``.
     """
@@ -74,22 +75,22 @@
         for endpoint in state.endpoints.endpoints.values()
         if endpoint.service == service and is_usable(endpoint, own.zone, state.now_s)
     ]
-    oldest_s = min((endpoint.since_s for endpoint in usable), default=0.0)
+    oldest_s = min((endpoint.active_since_s for endpoint in usable), default=0.0)
     free = [
         endpoint
         for endpoint in usable
-        if endpoint.in_flight < _room(state, endpoint, own.zone, oldest_s)
+        if endpoint.in_flight < _max_in_flight(state, endpoint, own.zone, oldest_s)
     ]
-    return pick(state, free)
+    return pick_least_loaded(state, free)
 
 
-def pick(state: State, free: list[Endpoint]) -> Endpoint | None:
+def pick_least_loaded(state: State, free: list[Endpoint]) -> Endpoint | None:
     """
-    Pick the least loaded endpoint, those of the own zone first.
+    Pick the least loaded of the given endpoints, preferring the local zone.
 
-    :param state: the state.
+    :param state: state of this instance.
     :param free: endpoints with a free slot.
-    :returns: one of them, or ``None`` when there is none.
+    :returns: one of them, or ``None`` when there are none.
     """
     own = state.identity.sender
 
@@ -100,32 +101,32 @@
     return min(free, key=load, default=None)
 
 
-def is_usable(endpoint: Endpoint, own_zone: str, now_s: float) -> bool:
+def is_usable(endpoint: Endpoint, local_zone: str, now_s: float) -> bool:
     """
-    Tell whether an endpoint may get new work.
+    Return whether an endpoint may receive new work.
 
     :param endpoint: the endpoint.
-    :param own_zone: availability zone of this instance.
-    :param now_s: time.
-    :returns: whether it may.
+    :param local_zone: availability zone of this instance.
+    :param now_s: current time, in seconds.
+    :returns: whether it is listed, neither leaving nor waiting for a retry, and assumed live.
     """
     if not endpoint.listed or endpoint.leaving or endpoint.retry_at_s > now_s:
         return False
-    if endpoint.live_s < 0:
-        # The first probe may still be on its way; work for another zone waits for it.
-        if endpoint.zone != own_zone:
+    if endpoint.last_healthy_probe_s < 0:
+        # The first probe may still be in flight; a remote endpoint gets no work before its result.
+        if endpoint.zone != local_zone:
             return False
-        return endpoint.first_probe_s < 0 or now_s - endpoint.first_probe_s <= FIRST_PROBE_S
-    return now_s - endpoint.live_s <= LIVE_FOR_S
+        return endpoint.first_probe_s < 0 or now_s - endpoint.first_probe_s <= FIRST_PROBE_GRACE_S
+    return now_s - endpoint.last_healthy_probe_s <= LIVENESS_TTL_S
 
 
 def has_any(state: EndpointState, service: str) -> bool:
     """
-    Tell whether a service has an endpoint that is not leaving.
+    Return whether a service has a listed endpoint that is not leaving.
 
-    :param state: what is known of endpoints.
+    :param state: endpoints known to this instance.
     :param service: ``WORKSPACE/SERVICE``.
-    :returns: whether there is one.
+    :returns: whether there is at least one.
     """
     return any(
         endpoint.service == service and endpoint.listed and not endpoint.leaving
@@ -133,17 +134,17 @@
     )
 
 
-def _take_item(state: EndpointState, item: ListedInstance, now_s: float) -> None:
+def _apply_listed(state: EndpointState, item: ListedInstance, now_s: float) -> None:
     endpoint = state.endpoints.get(item.id)
     if endpoint is None:
         endpoint = Endpoint(item.id, item.service, item.address, item.zone, item.slots)
-        endpoint.since_s = now_s
+        endpoint.active_since_s = now_s
         endpoint.incarnation = item.incarnation
         state.endpoints[item.id] = endpoint
     elif item.incarnation > endpoint.incarnation:
-        renew(endpoint, item.incarnation, now_s)
+        reset_for_incarnation(endpoint, item.incarnation, now_s)
     endpoint.listed = True
-    endpoint.listed_s = now_s
+    endpoint.last_listed_s = now_s
     if item.incarnation == endpoint.incarnation:
         endpoint.address = item.address
         endpoint.service = item.service
@@ -152,12 +153,12 @@
         endpoint.leaving = endpoint.leaving or item.state == "leaving"
 
 
-def _room(state: State, endpoint: Endpoint, own_zone: str, oldest_s: float) -> int:
-    if endpoint.trial_left:
+def _max_in_flight(state: State, endpoint: Endpoint, local_zone: str, oldest_s: float) -> int:
+    if endpoint.trial_attempts_left:
         return 1
-    if endpoint.zone != own_zone:
-        return max(1, endpoint.slots // REMOTE_PART)
-    age_s = state.now_s - endpoint.since_s
-    if age_s < SLOW_START_S and endpoint.since_s - oldest_s >= SLOW_START_S:
+    if endpoint.zone != local_zone:
+        return max(1, endpoint.slots // REMOTE_SLOT_DIVISOR)
+    age_s = state.now_s - endpoint.active_since_s
+    if age_s < SLOW_START_S and endpoint.active_since_s - oldest_s >= SLOW_START_S:
         return max(1, int(endpoint.slots * age_s / SLOW_START_S))
     return endpoint.slots
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_placement.py
@@ -1,10 +1,11 @@
 """
 Places waiting jobs on workers: a pure function on plain data.
 
-The team with the least dominant share, by its weight, goes next (dominant-resource fairness); its
-job goes to the tightest worker that it fits into. Urgent jobs go first and may take the place of
-jobs of their own team, and of teams that keep nearly their share without them. A job that waits
-long gets a worker kept free for it.
+The team with the smallest weighted dominant share is served next (dominant-resource fairness), and
+its job is placed on the worker with the least free resources that fits it (best-fit bin packing).
+Urgent jobs are placed first. They may preempt jobs of their own team, and jobs of teams that keep
+nearly their fair share without them. A worker is reserved for a job that has waited long, so that
+smaller jobs can't starve it.
 """
 
 from collections import deque
@@ -14,16 +15,24 @@
 
 import msgspec
 
-from ._jobs import NOTHING, RunningJob, Size, TeamUse, WaitingJob, Worker
-from ._placement_fit import FitIndex, exchange_room, find_worker, leave_out, make_index, take_room
-from ._placement_preempt import PreemptIndex, find_victims, make_preempt_index
-
+from ._jobs import ZERO_SIZE, RunningJob, Size, TeamUsage, WaitingJob, Worker
+from ._placement_fit import (
+    FitIndex,
+    build_fit_index,
+    exclude_worker,
+    find_worker,
+    replace_preempted,
+    reserve_resources,
+)
+from ._placement_preempt import PreemptIndex, build_preempt_index, find_victims
+
+# Waiting time after which a worker is reserved for a job.
 RESERVE_AFTER_S = 60.0
 MAX_RESERVED = 8
-# Jobs of one team that fit nowhere, after which its others are not tried in this plan.
-MISSES_PER_TEAM = 8
-# Part of its fair share that a team keeps when others' urgent work takes its place.
-KEPT_SHARE = 0.95
+# Unplaceable jobs of one team after which its remaining jobs are skipped in this plan.
+MAX_MISSES_PER_TEAM = 8
+# Fraction of a team's fair share that urgent jobs of other teams can't preempt.
+PROTECTED_SHARE_RATIO = 0.95
 
 PARKED_TOO_LARGE = "larger_than_any_worker"
 PARKED_NO_LIMIT = "team_may_run_nothing"
@@ -32,9 +41,9 @@
 
 class Start(NamedTuple):
     """
-    A job is to start at a worker, once the named jobs have made place.
+    The decision to start a job on a worker, once the preempted jobs have stopped.
 
-    :param preempts: jobs that are checkpointed and stopped first.
+    :param preempts: jobs to checkpoint and stop first.
     """
 
     job: str
@@ -44,9 +53,9 @@
 
 class Parked(NamedTuple):
     """
-    A job can't ever run as things are.
+    A job that can't run with the current workers and limits.
 
-    :param reason: why, as told to its submitter.
+    :param reason: reason reported to its submitter.
     """
 
     job: str
@@ -55,10 +64,10 @@
 
 class Placement(NamedTuple):
     """
-    What a plan decides.
+    The decisions of one plan.
 
-    :param starts: jobs that start.
-    :param parked: jobs that can never run, with the reason.
+    :param starts: jobs to start, in order.
+    :param parked: jobs that can't run, with the reason.
     """
 
     starts: tuple[Start, ...]
@@ -67,12 +76,17 @@
 
 class _Team(msgspec.Struct):
     """
-    A team while jobs are placed.
-
-    :param misses: its jobs that fitted nowhere.
+    State of a team while a plan is computed.
+
+    :param usage: entitlement of the team, and its usage before the plan.
+    :param running: number of its jobs that run, or start in this plan.
+    :param used: resources reserved by these jobs.
+    :param urgent: its urgent jobs that wait.
+    :param normal: its other jobs that wait.
+    :param misses: number of its jobs for which no worker was found.
     """
 
-    use: TeamUse
+    usage: TeamUsage
     running: int
     used: Size
     urgent: deque[WaitingJob]
@@ -84,21 +98,21 @@
     waiting: Sequence[WaitingJob],
     running: Sequence[RunningJob],
     workers: Sequence[Worker],
-    teams: Iterable[TeamUse],
+    teams: Iterable[TeamUsage],
 ) -> Placement:
     """
-    Decide which jobs start where.
+    Decide which jobs start on which workers.
 
-    :param waiting: jobs, in the order in which each team wants them.
-    :param running: jobs that run.
+    :param waiting: waiting jobs, in the order preferred by each team.
+    :param running: running jobs.
     :param workers: workers that may be used.
     :param teams: all teams.
-    :returns: the starts in order, and the jobs that can never run.
+    :returns: the starts in order, and the jobs that can't run.
     """
-    total = _sum(worker.capacity for worker in workers)
-    parked, able = _park_impossible(waiting, workers, {team.name: team for team in teams})
-    index = make_index(workers)
-    queues = _make_teams(able, teams)
+    total = _sum_sizes(worker.capacity for worker in workers)
+    parked, placeable = _park_unplaceable(waiting, workers, {team.name: team for team in teams})
+    index = build_fit_index(workers)
+    queues = _group_by_team(placeable, teams)
     starts: list[Start] = []
     _place_urgent(queues, index, running, total, starts)
     _place_normal(queues, index, total, starts)
@@ -107,34 +121,34 @@
 
 def dominant_share(used: Size, total: Size, share: float) -> float:
     """
-    Give a team's use by its weight.
+    Return the weighted dominant share of a team.
 
-    :param used: what its jobs need.
-    :param total: the fleet.
-    :param share: the team's weight.
+    :param used: resources reserved by the team's jobs.
+    :param total: total resources of the fleet.
+    :param share: weight of the team.
     :returns: the dominant share divided by the weight.
     """
-    return used.largest_part(total) / share
+    return used.dominant_fraction(total) / share
 
 
-def _park_impossible(
-    waiting: Sequence[WaitingJob], workers: Sequence[Worker], teams: dict[str, TeamUse]
+def _park_unplaceable(
+    waiting: Sequence[WaitingJob], workers: Sequence[Worker], teams: dict[str, TeamUsage]
 ) -> tuple[list[Parked], list[WaitingJob]]:
-    shapes = {worker.capacity for worker in workers}
-    parked, able = [], []
+    capacities = {worker.capacity for worker in workers}
+    parked, placeable = [], []
     for job in waiting:
         if job.team not in teams:
             parked.append(Parked(job.id, PARKED_NO_TEAM))
         elif teams[job.team].limit <= 0:
             parked.append(Parked(job.id, PARKED_NO_LIMIT))
-        elif not any(job.size.fits(shape) for shape in shapes):
+        elif not any(job.size.fits(capacity) for capacity in capacities):
             parked.append(Parked(job.id, PARKED_TOO_LARGE))
         else:
-            able.append(job)
-    return parked, able
+            placeable.append(job)
+    return parked, placeable
 
 
-def _make_teams(waiting: Sequence[WaitingJob], teams: Iterable[TeamUse]) -> dict[str, _Team]:
+def _group_by_team(waiting: Sequence[WaitingJob], teams: Iterable[TeamUsage]) -> dict[str, _Team]:
     queues = {team.name: _Team(team, team.running, team.used, deque(), deque()) for team in teams}
     for job in waiting:
         team = queues[job.team]
@@ -149,95 +163,97 @@
     total: Size,
     starts: list[Start],
 ) -> None:
-    victims: PreemptIndex | None = None
-    heap = [(_level(team, total), name) for name, team in queues.items() if team.urgent]
+    preempt_index: PreemptIndex | None = None
+    heap = [(_weighted_share(team, total), name) for name, team in queues.items() if team.urgent]
     heapify(heap)
     while heap:
         _, name = heappop(heap)
         team = queues[name]
-        if team.running >= team.use.limit:
+        if team.running >= team.usage.limit:
             continue
         job = team.urgent.popleft()
         worker = find_worker(index, job.size)
         if worker is not None:
-            take_room(index, worker, job.size)
+            reserve_resources(index, worker, job.size)
             starts.append(Start(job.id, worker))
-            _count(team, job.size)
+            _add_running(team, job.size)
         else:
-            victims = victims or make_preempt_index(running, index)
-            _preempt(queues, index, victims, total, job, starts)
+            preempt_index = preempt_index or build_preempt_index(running, index)
+            _preempt(queues, index, preempt_index, total, job, starts)
         if team.urgent:
-            heappush(heap, (_level(team, total), name))
+            heappush(heap, (_weighted_share(team, total), name))
 
 
 def _preempt(
     queues: dict[str, _Team],
     index: FitIndex,
-    victims: PreemptIndex,
+    preempt_index: PreemptIndex,
     total: Size,
     job: WaitingJob,
     starts: list[Start],
 ) -> None:
-    weights = sum(team.use.share for team in queues.values())
-    in_use = _sum(team.used for team in queues.values()).largest_part(total)
+    total_weight = sum(team.usage.share for team in queues.values())
+    utilization = _sum_sizes(team.used for team in queues.values()).dominant_fraction(total)
 
-    def may_give(running: RunningJob) -> bool:
+    def may_preempt(running: RunningJob) -> bool:
         team = queues.get(running.team)
         if team is None or running.team == job.team:
             return True
-        least = KEPT_SHARE * in_use * team.use.share / weights
-        return team.used.minus(running.size).largest_part(total) >= least
+        protected_share = PROTECTED_SHARE_RATIO * utilization * team.usage.share / total_weight
+        return team.used.minus(running.size).dominant_fraction(total) >= protected_share
 
-    found = find_victims(victims, index.free, job.size, may_give)
-    if found is None or len({victim.team for victim in found}) < len(found) > 1:
-        # Several jobs of one team could leave it less than its share.
+    victims = find_victims(preempt_index, index.free, job.size, may_preempt)
+    if victims is None or len({victim.team for victim in victims}) < len(victims) > 1:
+        # Each victim is checked alone, so several of one team could leave it less than its share.
         return
-    for victim in found:
+    for victim in victims:
         if victim.team in queues:
             team = queues[victim.team]
             team.running -= 1
             team.used = team.used.minus(victim.size)
-    exchange_room(index, found[0].worker, _sum(victim.size for victim in found), job.size)
-    starts.append(Start(job.id, found[0].worker, tuple(victim.id for victim in found)))
-    _count(queues[job.team], job.size)
+    replace_preempted(
+        index, victims[0].worker, _sum_sizes(victim.size for victim in victims), job.size
+    )
+    starts.append(Start(job.id, victims[0].worker, tuple(victim.id for victim in victims)))
+    _add_running(queues[job.team], job.size)
 
 
 def _place_normal(
     queues: dict[str, _Team], index: FitIndex, total: Size, starts: list[Start]
 ) -> None:
     reserved = 0
-    heap = [(_level(team, total), name) for name, team in queues.items() if team.normal]
+    heap = [(_weighted_share(team, total), name) for name, team in queues.items() if team.normal]
     heapify(heap)
-    while heap and index.order:
+    while heap and index.by_free_cores:
         _, name = heappop(heap)
         team = queues[name]
-        if team.running >= team.use.limit:
+        if team.running >= team.usage.limit:
             continue
         job = team.normal.popleft()
         worker = find_worker(index, job.size)
         if worker is not None:
-            take_room(index, worker, job.size)
+            reserve_resources(index, worker, job.size)
             starts.append(Start(job.id, worker))
-            _count(team, job.size)
+            _add_running(team, job.size)
         elif job.waited_s >= RESERVE_AFTER_S and reserved < MAX_RESERVED:
             reserved += 1
-            leave_out(index, index.order[-1])
+            exclude_worker(index, index.by_free_cores[-1])
         team.misses += worker is None
-        if team.normal and team.misses < MISSES_PER_TEAM:
-            heappush(heap, (_level(team, total), name))
+        if team.normal and team.misses < MAX_MISSES_PER_TEAM:
+            heappush(heap, (_weighted_share(team, total), name))
 
 
-def _level(team: _Team, total: Size) -> float:
-    return dominant_share(team.used, total, team.use.share)
+def _weighted_share(team: _Team, total: Size) -> float:
+    return dominant_share(team.used, total, team.usage.share)
 
 
-def _count(team: _Team, size: Size) -> None:
+def _add_running(team: _Team, size: Size) -> None:
     team.running += 1
     team.used = team.used.plus(size)
 
 
-def _sum(sizes: Iterable[Size]) -> Size:
-    total = NOTHING
+def _sum_sizes(sizes: Iterable[Size]) -> Size:
+    total = ZERO_SIZE
     for size in sizes:
         total = total.plus(size)
     return total
--- a/packages/eelgrassdrum-core/tests/test_endpoints.py
+++ b/packages/eelgrassdrum-core/tests/test_endpoints.py
@@ -1,5 +1,5 @@
 """
-Endpoints: leaving, ejection, re-entry and the choice among them.
+Tests of endpoints: leaving, probes, ejection, trial and selection.
 """
 
 from eelgrassdrum_core import Identity, Sender, State, Tuning, effects, events, new_state, reduce
@@ -16,7 +16,7 @@
 
 def make_state() -> State:
     """
-    Give an instance in zone a that knows two endpoints of its zone and one of another.
+    Build the state of an instance in zone a with two local endpoints and one in another zone.
     """
     identity = Identity(Sender("entry-a1", 1, "a"), "127.0.0.1:1", "127.0.0.1:2")
     state = new_state(identity, Tuning())
@@ -24,17 +24,17 @@
     return state
 
 
-def chosen(state: State) -> str:
+def chosen_endpoint(state: State) -> str:
     """
-    Give the id of the endpoint that the next attempt would go to.
+    Return the id of the endpoint chosen for the next attempt, or an empty string.
     """
-    endpoint = endpoints.choose(state, SERVICE)
+    endpoint = endpoints.choose_endpoint(state, SERVICE)
     return "" if endpoint is None else endpoint.id
 
 
 def fail(state: State, endpoint: str, times: int) -> None:
     """
-    Let an endpoint fail much sooner than others answer.
+    Record failures of an endpoint that are much faster than the mean response.
     """
     for _ in range(times):
         health.note_answer(state, endpoint, True, 0.001, 0.1)
@@ -43,10 +43,9 @@
 FIXTURES = {"state": make_state}
 
 
-def test_leaving_is_believed_until_a_newer_incarnation(state: State) -> None:
+def test_leaving_state_lasts_until_a_newer_incarnation(state: State) -> None:
     """
-    After a refusal that says leaving, a list that still says live changes nothing; a newer
-    incarnation in the list does.
+    A stale list does not reset the leaving state; a list with a newer incarnation does.
     """
     list(health.note_leaving(state, "ep-a1"))
     reduce(state, 2.0, events.InstancesListed(LISTED))
@@ -56,64 +55,65 @@
     assert not state.endpoints.endpoints["ep-a1"].leaving
 
 
-def test_news_of_a_peer_is_believed(state: State) -> None:
+def test_endpoint_leaving_is_accepted_from_a_peer(state: State) -> None:
     """
-    An endpoint that a peer saw leaving gets no new work.
+    An endpoint that a peer reports as leaving gets no new work.
     """
     sender = Sender("entry-a2", 1, "a")
     reduce(state, 2.0, events.PeerReceived(sender, EndpointLeaving("ep-a1", 0)))
-    assert chosen(state) == "ep-a2"
+    assert chosen_endpoint(state) == "ep-a2"
 
 
-def test_work_needs_a_recent_sign_of_life(state: State) -> None:
+def test_new_work_needs_a_recent_healthy_probe(state: State) -> None:
     """
-    An endpoint whose probes show nothing any more gets no new work.
+    An endpoint without a healthy probe within the liveness TTL gets no new work.
     """
     _, produced = reduce(state, 2.0, events.Ticked())
     probed = {e.endpoint for e in produced if isinstance(e, effects.ProbeEndpoint)}
     assert probed == {"ep-a1", "ep-a2"}
     for name in probed:
         reduce(state, 2.01, events.EndpointProbed(name, True))
-    state.now_s = 2.0 + endpoints.LIVE_FOR_S
-    assert chosen(state) in probed
+    state.now_s = 2.0 + endpoints.LIVENESS_TTL_S
+    assert chosen_endpoint(state) in probed
     state.now_s += 0.1
-    assert chosen(state) == ""
+    assert chosen_endpoint(state) == ""
 
 
-def test_other_zone_is_used_only_without_room_in_the_own(state: State) -> None:
+def test_other_zone_is_used_only_when_the_local_zone_is_full(state: State) -> None:
     """
-    Work goes to another zone when the own endpoints are full, and the other's was seen live.
+    Work goes to another zone only when local endpoints are full and a remote one is live.
     """
     reduce(state, 1.1, events.EndpointProbed("ep-b1", True))
-    state.endpoints.endpoints["ep-b1"].live_s = 1.0
-    assert chosen(state).startswith("ep-a")
+    state.endpoints.endpoints["ep-b1"].last_healthy_probe_s = 1.0
+    assert chosen_endpoint(state).startswith("ep-a")
     for name in ("ep-a1", "ep-a2"):
         state.endpoints.endpoints[name].in_flight = 4
-    assert chosen(state) == "ep-b1"
+    assert chosen_endpoint(state) == "ep-b1"
     remote = state.endpoints.endpoints["ep-b1"]
-    remote.in_flight = remote.slots // endpoints.REMOTE_PART
-    assert chosen(state) == ""
+    remote.in_flight = remote.slots // endpoints.REMOTE_SLOT_DIVISOR
+    assert chosen_endpoint(state) == ""
 
 
-def test_fast_failures_are_not_rewarded(state: State) -> None:
+def test_fast_failing_endpoint_is_ejected(state: State) -> None:
     """
-    An endpoint that fails everything at once is taken out, and tried with one attempt at a time.
+    An endpoint that fails fast is ejected, not preferred for its free slots, and then gets one
+    attempt at a time.
     """
     fail(state, "ep-a1", 3)
     bad = state.endpoints.endpoints["ep-a1"]
     assert bad.retry_at_s > state.now_s
-    assert chosen(state) == "ep-a2"
+    assert chosen_endpoint(state) == "ep-a2"
     state.now_s = bad.retry_at_s
     bad.in_flight = 1
     state.endpoints.endpoints["ep-a2"].in_flight = 4
-    assert chosen(state) == ""
+    assert chosen_endpoint(state) == ""
     fail(state, "ep-a1", 1)
-    assert bad.retry_at_s - state.now_s == 2 * health.EJECT_S
+    assert bad.retry_at_s - state.now_s == 2 * health.BASE_EJECTION_S
 
 
 def test_not_all_endpoints_are_ejected(state: State) -> None:
     """
-    When both endpoints of the zone fail, one at least keeps its work.
+    When both endpoints of the zone fail, at least one stays in use.
     """
     for _ in range(10):
         fail(state, "ep-a1", 1)
@@ -124,20 +124,20 @@
 
 def test_trial_ends_after_successes(state: State) -> None:
     """
-    After some answers in a row an ejected endpoint gets its full work again.
+    An ejected endpoint recovers after consecutive successful attempts.
     """
     fail(state, "ep-a1", 3)
     for _ in range(health.TRIAL_ATTEMPTS):
         health.note_answer(state, "ep-a1", False, 0.1, 0.1)
     endpoint = state.endpoints.endpoints["ep-a1"]
-    assert (endpoint.trial_left, endpoint.ejections) == (0, 0)
+    assert (endpoint.trial_attempts_left, endpoint.ejections) == (0, 0)
 
 
-def test_silent_probes_take_an_endpoint_out_and_an_answer_brings_it_back(state: State) -> None:
+def test_failed_probes_eject_an_endpoint_until_a_healthy_probe(state: State) -> None:
     """
-    Two probes without an answer eject; the next answer on a new connection ends that at once.
+    Two consecutive failed probes eject an endpoint; a healthy probe ends the ejection.
     """
-    state.endpoints.endpoints["ep-a1"].probed_s = 1.0
+    state.endpoints.endpoints["ep-a1"].last_probe_s = 1.0
     reduce(state, 1.5, events.EndpointProbed("ep-a1", False))
     reduce(state, 1.6, events.EndpointProbed("ep-a1", False))
     assert state.endpoints.endpoints["ep-a1"].retry_at_s > 1.6
@@ -147,14 +147,14 @@
 
 def test_a_new_endpoint_starts_slowly(state: State) -> None:
     """
-    Beside older ones a new endpoint gets a growing part of its slots.
+    A new endpoint beside older ones gets a growing fraction of its slots.
     """
     newcomer = LISTED[0]._replace(id="ep-a3", address="a3")
     reduce(state, 20.0, events.InstancesListed((*LISTED, newcomer)))
     for name in ("ep-a1", "ep-a2"):
         state.endpoints.endpoints[name].in_flight = 4
     state.endpoints.endpoints["ep-a3"].in_flight = 1
-    assert chosen(state) == ""
+    assert chosen_endpoint(state) == ""
     state.now_s = 20.0 + endpoints.SLOW_START_S
-    state.endpoints.endpoints["ep-a3"].live_s = state.now_s
-    assert chosen(state) == "ep-a3"
+    state.endpoints.endpoints["ep-a3"].last_healthy_probe_s = state.now_s
+    assert chosen_endpoint(state) == "ep-a3"
