--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_admission.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_admission.py
@@ -19,7 +19,7 @@
 from ._effects import Emit, Refuse
 from ._events import CapacityChanged, RequestReceived
 from ._handlers import HandlerTable
-from ._joins_events import ClaimLost, RequestClaimed
+from ._joins_events import ClaimFailed, RequestClaimed
 from ._joins_voters import hash_request
 from ._keys import find_key, key_name
 from ._refusals import Refusal, RefusalCode
@@ -76,7 +76,7 @@
     yield Emit(CapacityChanged(event.req.service))
 
 
-def on_claim_lost(state: State, event: ClaimLost) -> Iterator[object]:
+def on_claim_lost(state: State, event: ClaimFailed) -> Iterator[object]:
     """
     Refuse a request whose claim was lost, because another instance may have run it.
     """
@@ -181,5 +181,5 @@
 HANDLERS: HandlerTable = {
     RequestReceived: on_request,
     RequestClaimed: on_claimed,
-    ClaimLost: on_claim_lost,
+    ClaimFailed: on_claim_lost,
 }
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_balance.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_balance.py
@@ -91,13 +91,13 @@
     :returns: units by key; their sum is at most `units`.
     """
     parts = dict.fromkeys(demands, 0)
-    left = max(0, units)
+    remaining = max(0, units)
     unsatisfied = sorted(
         (key for key, want in demands.items() if want > 0), key=lambda k: demands[k]
     )
     for index, key in enumerate(unsatisfied):
-        parts[key] = min(demands[key], -(-left // (len(unsatisfied) - index)))
-        left -= parts[key]
+        parts[key] = min(demands[key], -(-remaining // (len(unsatisfied) - index)))
+        remaining -= parts[key]
     return parts
 
 
@@ -125,8 +125,8 @@
     view = state.limits.balance.teams.setdefault(team.name, TeamBalance())
     allowance = state.fold.allowances.teams.get(team.name, TeamAllowance())
     demands = _demand_by_holder(state, view)
-    held = _usable_by_holder(state, team, view, allowance)
-    targets = _targets(team, allowance, demands)
+    held = _usable_units_by_holder(state, team, view, allowance)
+    targets = _target_allowances(team, allowance, demands)
     gains = {
         key: targets[key] - held[key]
         for key in targets
@@ -162,7 +162,7 @@
     return demands
 
 
-def _usable_by_holder(
+def _usable_units_by_holder(
     state: State, team: Team, view: TeamBalance, allowance: TeamAllowance
 ) -> dict[str, int]:
     current = revision(state, team.name)
@@ -175,7 +175,9 @@
     return usable
 
 
-def _targets(team: Team, allowance: TeamAllowance, demands: dict[str, int]) -> dict[str, int]:
+def _target_allowances(
+    team: Team, allowance: TeamAllowance, demands: dict[str, int]
+) -> dict[str, int]:
     units = team.limit - sum(allowance.recovering.values())
     satisfied = split_max_min(demands, units)
     spare = units - sum(satisfied.values())
@@ -232,7 +234,7 @@
     current = revision(state, team.name)
     allowance = state.fold.allowances.teams.get(team.name, TeamAllowance())
     ceded = view.ceded if view.asked_revision == current else {}
-    changes = _changes(team, allowance, targets, ceded)
+    changes = _allowance_changes(team, allowance, targets, ceded)
     # When nothing moves, a record is still useful if promises cap a holder that could gain: its
     # new revision ends them.
     if state.limits.balance.tokens < 1.0 or (not changes and not is_capped):
@@ -244,7 +246,7 @@
     yield Emit(RecordProposed(ALLOWANCE_MOVED, allowance_subject(team.name), current, body))
 
 
-def _changes(
+def _allowance_changes(
     team: Team, allowance: TeamAllowance, targets: Mapping[str, int], ceded: Mapping[str, int]
 ) -> dict[str, int]:
     held = allowance.held
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints_health.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_endpoints_health.py
@@ -26,7 +26,7 @@
 SECONDARY_PROBE_INTERVAL_S = 3.0
 # Remote endpoints are probed while requests for their service wait, and for this time after the
 # last attempt there.
-REMOTE_USE_S = 10.0
+REMOTE_PROBE_WINDOW_S = 10.0
 PROBE_TIMEOUT_S = 1.0
 # Consecutive failed probes after which an endpoint is ejected.
 MAX_FAILED_PROBES = 2
@@ -182,7 +182,8 @@
     own = state.identity.sender
     if endpoint.zone != own.zone:
         is_used = (
-            endpoint.last_attempt_s >= 0 and state.now_s - endpoint.last_attempt_s < REMOTE_USE_S
+            endpoint.last_attempt_s >= 0
+            and state.now_s - endpoint.last_attempt_s < REMOTE_PROBE_WINDOW_S
         )
         has_waiting = service_load(state, endpoint.service).total > 0
         return SECONDARY_PROBE_INTERVAL_S if is_used or has_waiting else None
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair.py
@@ -25,7 +25,7 @@
         requests.appendleft(req)
     else:
         requests.append(req)
-    count_request(fair, req, 1)
+    update_queued_counts(fair, req, 1)
 
 
 def pop(
@@ -56,7 +56,7 @@
         team.is_blocked = not may_start(requests[0])
         if not team.is_blocked:
             req = requests.popleft()
-            count_request(fair, req, -1)
+            update_queued_counts(fair, req, -1)
             return req
     return None
 
@@ -100,11 +100,11 @@
                     requests.extend(kept)
                     removed.extend(matching)
     for req in removed:
-        count_request(fair, req, -1)
+        update_queued_counts(fair, req, -1)
     return removed
 
 
-def count_request(fair: FairState, req: Request, step: int) -> None:
+def update_queued_counts(fair: FairState, req: Request, step: int) -> None:
     """
     Update the counts of waiting requests when a request starts or stops waiting.
 
@@ -125,10 +125,10 @@
     "FairState",
     "ServiceQueue",
     "TeamQueue",
-    "count_request",
     "count_waiting",
     "is_waiting",
     "pop",
     "push",
     "remove_where",
+    "update_queued_counts",
 ]
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_eviction.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair_eviction.py
@@ -6,7 +6,7 @@
 
 from collections import deque
 
-from ._fair import count_request
+from ._fair import update_queued_counts
 from ._fair_state import FairState, TeamQueue
 from ._requests import Request
 
@@ -44,7 +44,7 @@
         return None
     req = _take_newest(service.teams[largest].normal, queue)
     if req is not None:
-        count_request(fair, req, -1)
+        update_queued_counts(fair, req, -1)
     return req
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_claims.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_claims.py
@@ -8,7 +8,7 @@
 from ._effects import Emit, SendPeer
 from ._events import PeerReceived, Ticked
 from ._handlers import HandlerTable
-from ._joins_events import ClaimLost, RequestClaimed
+from ._joins_events import ClaimFailed, RequestClaimed
 from ._joins_messages import ClaimReleased, ClaimVoted, ClaimWanted
 from ._joins_state import PendingClaim
 from ._refusals import Refusal
@@ -28,7 +28,7 @@
 
     :param state: the pending claims are changed in place.
     :param req: the request.
-    :returns: effects; `RequestClaimed` or `ClaimLost` is emitted by one of them or later.
+    :returns: effects; `RequestClaimed` or `ClaimFailed` is emitted by one of them or later.
     """
     joins = state.joins
     number = joins.next_number
@@ -103,9 +103,9 @@
     if pending.give_up_s <= state.now_s:
         return
     (pending.granted if voted.granted else pending.denied).add(voter)
-    left = _joins_voters.all_voters(state.joins, pending.key) - pending.denied
-    if not _joins_voters.has_majority(state.joins, pending.key, left):
-        yield from _fail_claim(state, pending, _refuse_held(voted))
+    not_denied = _joins_voters.all_voters(state.joins, pending.key) - pending.denied
+    if not _joins_voters.has_majority(state.joins, pending.key, not_denied):
+        yield from _fail_claim(state, pending, _denial_refusal(voted))
     elif _joins_voters.has_majority(state.joins, pending.key, pending.granted):
         del state.joins.pending[pending.number]
         yield Emit(RequestClaimed(pending.req))
@@ -113,10 +113,10 @@
 
 def _fail_claim(state: State, pending: PendingClaim, refusal: Refusal) -> Iterator[object]:
     yield from release_claim(state, pending.key, pending.number)
-    yield Emit(ClaimLost(pending.req, refusal))
+    yield Emit(ClaimFailed(pending.req, refusal))
 
 
-def _refuse_held(voted: ClaimVoted) -> Refusal:
+def _denial_refusal(voted: ClaimVoted) -> Refusal:
     if voted.conflict:
         return Refusal(_refusals.REQUEST_CONFLICT)
     return Refusal(_refusals.HELD_ELSEWHERE, HELD_RETRY_S, f"held by {voted.holder}")
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_events.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_events.py
@@ -18,7 +18,7 @@
     req: Request
 
 
-class ClaimLost(NamedTuple):
+class ClaimFailed(NamedTuple):
     """
     This instance was not granted the right to run a request.
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_codec.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_codec.py
@@ -53,18 +53,18 @@
 _body_decoder = msgspec.msgpack.Decoder(SnapshotBody)
 
 
-def encode_snapshot(fold: Fold, appliers: Mapping[str, Applier], maker: Sender) -> RawSnapshot:
+def encode_snapshot(fold: Fold, appliers: Mapping[str, Applier], builder: Sender) -> RawSnapshot:
     """
     Encode the fold as a snapshot.
 
     :param fold: the folded state.
     :param appliers: appliers of the record kinds that this version knows.
-    :param maker: this instance.
+    :param builder: this instance.
     :returns: the snapshot.
     """
     data = _encoder.encode(SnapshotBody(FORMAT, sorted(appliers), fold))
     offset = fold.position.next_offset - 1
-    snapshot = f"{offset}.{maker.instance}.{maker.incarnation}"
+    snapshot = f"{offset}.{builder.instance}.{builder.incarnation}"
     return RawSnapshot(snapshot, offset, xxhash.xxh3_64_intdigest(data), data)
 
 
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_waves_preview.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_waves_preview.py
@@ -31,12 +31,12 @@
     """
     waves: list[PlannedWave] = []
     # Assumes that the stops under way end before the first wave.
-    view = view._replace(budgets={name: _after_stops(item) for name, item in view.budgets.items()})
+    view = view._replace(budgets={name: _end_stops(item) for name, item in view.budgets.items()})
     while len(waves) < MAX_WAVES:
         stops = plan_wave(view)
         if not stops:
             break
-        waves.append(PlannedWave(tuple(stops), _margin(view, stops)))
+        waves.append(PlannedWave(tuple(stops), _min_headroom(view, stops)))
         view = apply_wave(view, stops)
     return waves
 
@@ -67,11 +67,11 @@
     return view._replace(pools=tuple(pools), budgets=budgets)
 
 
-def _after_stops(budget: WaveBudget) -> WaveBudget:
+def _end_stops(budget: WaveBudget) -> WaveBudget:
     return WaveBudget(budget.headroom + budget.under_way, 0)
 
 
-def _margin(view: WaveView, stops: list[WaveStop]) -> int:
+def _min_headroom(view: WaveView, stops: list[WaveStop]) -> int:
     budget_by_pool = {pool.name: pool.budget for pool in view.pools}
     serving = {pool.budget for pool in view.pools if not pool.spare}
     used: dict[str, int] = {}
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_tail.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_tail.py
@@ -54,7 +54,7 @@
     tail.answered_s = at.now_s
     former_owner_record_s = tail.owner_record_s
     for data in event.records:
-        _fold_one(node, at, data)
+        _fold_record(node, at, data)
         node.replicated.offset += 1
     _update_delays(tail, at.now_s, event, former_owner_record_s)
     was_caught_up = tail.is_caught_up
@@ -184,7 +184,7 @@
         _intake.answer_cancels(node, record.job)
 
 
-def _fold_one(node: Node, at: Moment, data: bytes) -> None:
+def _fold_record(node: Node, at: Moment, data: bytes) -> None:
     record = decode_record(data)
     if record is None:
         log_line(node, "log.unreadable_record", offset=node.replicated.offset, size_bytes=len(data))
--- a/packages/eelgrassdrum-core/tests/test_jobs_orders.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_orders.py
@@ -33,7 +33,7 @@
 FIXTURES = {"unanswered": make_unanswered}
 
 
-def lists(sent_s, runs=(), ends=()):
+def worker_lists(sent_s, runs=(), ends=()):
     """
     Return the lists of the worker, requested at a time.
     """
@@ -64,25 +64,25 @@
     """
     node, order, _produced = unanswered
     row = model.RunRow(order.key, order.run, "", 10, 0.0)
-    produced = feed(node, GIVEN_UP_S + 0.01, lists(GIVEN_UP_S, (row,)))
+    produced = feed(node, GIVEN_UP_S + 0.01, worker_lists(GIVEN_UP_S, (row,)))
     assert of_type(produced, effects.StopTask) == []
     assert order.key in node.replicated.running["w"]
 
 
-def test_run_is_barred_before_its_task_is_retried(unanswered):
+def test_run_is_stopped_before_its_task_is_retried(unanswered):
     """
     A task whose order is not in the lists is retried only after the worker has barred the run.
     """
     node, order, _produced = unanswered
-    produced = feed(node, GIVEN_UP_S + 0.01, lists(GIVEN_UP_S))
+    produced = feed(node, GIVEN_UP_S + 0.01, worker_lists(GIVEN_UP_S))
     assert started(produced) == []
     (stop,) = of_type(produced, effects.StopTask)
     assert (stop.key, stop.run) == (order.key, order.run)
-    barred = events.StopAnswered("w", order.key, order.run, events.OK)
-    produced = feed(node, GIVEN_UP_S + 0.02, barred)
+    stop_acknowledged = events.StopAnswered("w", order.key, order.run, events.OK)
+    produced = feed(node, GIVEN_UP_S + 0.02, stop_acknowledged)
     assert started(produced) == []
     assert len(of_type(produced, effects.Hold)) == 1
-    produced = feed(node, GIVEN_UP_S + 0.03, lists(GIVEN_UP_S + 0.02))
+    produced = feed(node, GIVEN_UP_S + 0.03, worker_lists(GIVEN_UP_S + 0.02))
     assert started(produced) == [("job", "w")]
     (again,) = commit(node, GIVEN_UP_S + 0.04)
     assert again.run == order.run + 1
@@ -93,14 +93,14 @@
     If a delayed order was carried out before the stop, its run has to exit before a retry.
     """
     node, order, _produced = unanswered
-    feed(node, GIVEN_UP_S + 0.01, lists(GIVEN_UP_S))
+    feed(node, GIVEN_UP_S + 0.01, worker_lists(GIVEN_UP_S))
     feed(node, GIVEN_UP_S + 0.02, events.StopAnswered("w", order.key, order.run, events.OK))
     row = model.RunRow(order.key, order.run, "", 10, 0.0)
-    produced = feed(node, GIVEN_UP_S + 0.03, lists(GIVEN_UP_S + 0.02, (row,)))
+    produced = feed(node, GIVEN_UP_S + 0.03, worker_lists(GIVEN_UP_S + 0.02, (row,)))
     assert started(produced) == []
     commit(node, GIVEN_UP_S + 0.1)
     end = model.EndRow(1, order.key, order.run, "stopped", "")
-    produced = feed(node, GIVEN_UP_S + 0.4, lists(GIVEN_UP_S + 0.03, (), (end,)))
+    produced = feed(node, GIVEN_UP_S + 0.4, worker_lists(GIVEN_UP_S + 0.03, (), (end,)))
     assert started(produced) == [("job", "w")]
 
 
@@ -117,9 +117,9 @@
         feed(node, SENT_S + 0.01, outcome)
     row = model.RunRow(second.key, second.run, "", 10, 0.0)
     end = model.EndRow(1, first.key, first.run, "done", "")
-    feed(node, SENT_S + 0.2, lists(SENT_S + 0.1, (row,), (end,)))
-    noted = events.Appended("owner", node.journal.seq, events.OK)
-    (next_hold,) = of_type(feed(node, SENT_S + 0.21, noted), effects.Hold)
+    feed(node, SENT_S + 0.2, worker_lists(SENT_S + 0.1, (row,), (end,)))
+    appended = events.Appended("owner", node.journal.seq, events.OK)
+    (next_hold,) = of_type(feed(node, SENT_S + 0.21, appended), effects.Hold)
     assert next_hold.acked == 1
-    produced = feed(node, SENT_S + 0.23, lists(SENT_S + 0.22, (row,)))
+    produced = feed(node, SENT_S + 0.23, worker_lists(SENT_S + 0.22, (row,)))
     assert [hold.acked for hold in of_type(produced, effects.Hold)] == [0]
