--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_balance.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_balance.py
@@ -1,10 +1,11 @@
 """
 Balancing of a team's allowances among their holders.
 
-A few holders, chosen by rendezvous hashing, are the balancers of a team; the later ones act only
-when those before them don't. A balancer allocates free units, and moves units that their holders
-promised not to use at the revision that the record builds on. Therefore a record may be lost,
-repeated or overtaken without two holders using the same unit.
+An allowance is the part of a team's upper limit that one holder may use; its units are concurrent
+requests. A few holders, chosen by rendezvous hashing, are the balancers of a team; each acts only
+when those before it don't. A balancer allocates free units, and moves units that their holders
+have ceded: promised not to use while the allowance has the revision that the record builds on.
+Therefore a record may be lost, repeated or overtaken without two holders using the same unit.
 """
 
 from collections.abc import Iterator, Mapping
@@ -34,10 +35,10 @@
 BALANCE_EVERY_S = 0.2
 # Minimum time between two records of one team.
 MOVE_EVERY_S = 1.0
-# Time to wait for promises, and time after which holders are asked for them again.
+# Time to wait for holders to cede units, and time after which they are asked again.
 CESSION_WAIT_S = 0.2
 CESSION_RETRY_S = 1.0
-# Additional delay of each further balancer, so that it acts only if those before it don't.
+# Delay per position in the order of balancers, so that each acts only if those before it don't.
 TAKEOVER_DELAY_S = 1.5
 # Delay before free units without demand are allocated.
 ALLOCATE_SPARE_AFTER_S = 1.0
@@ -122,6 +123,10 @@
 
 
 def _balance(state: State, team: Team, precedence: int) -> Iterator[object]:
+    """
+    Move a team's allowances towards their targets once they have been unbalanced for long enough
+    for this balancer's position in the order.
+    """
     view = state.limits.balance.teams.setdefault(team.name, TeamBalance())
     allowance = state.fold.allowances.teams.get(team.name, TeamAllowance())
     demands = _demand_by_holder(state, view)
@@ -165,6 +170,10 @@
 def _usable_units_by_holder(
     state: State, team: Team, view: TeamBalance, allowance: TeamAllowance
 ) -> dict[str, int]:
+    """
+    Return the units that each holder can use: its allowance, or less if it reported at the current
+    revision that it may use less.
+    """
     current = revision(state, team.name)
     usable = {}
     for key in state.limits.balance.holders:
@@ -178,6 +187,10 @@
 def _target_allowances(
     team: Team, allowance: TeamAllowance, demands: dict[str, int]
 ) -> dict[str, int]:
+    """
+    Return the allowance that each holder should have: its max-min fair share of the demand, and an
+    equal share of the units that nobody demands.
+    """
     units = team.limit - sum(allowance.recovering.values())
     satisfied = split_max_min(demands, units)
     spare = units - sum(satisfied.values())
@@ -195,6 +208,10 @@
 def _awaits_promises(
     state: State, team: Team, view: TeamBalance, targets: Mapping[str, int]
 ) -> bool:
+    """
+    Return whether to wait before moving units, because holders above their target have not been
+    asked at the current revision, or may still answer in time.
+    """
     if view.asked_revision != revision(state, team.name):
         return True
     all_promised = all(key in view.ceded for key in _holders_above_target(state, team, targets))
@@ -235,8 +252,8 @@
     allowance = state.fold.allowances.teams.get(team.name, TeamAllowance())
     ceded = view.ceded if view.asked_revision == current else {}
     changes = _allowance_changes(team, allowance, targets, ceded)
-    # When nothing moves, a record is still useful if promises cap a holder that could gain: its
-    # new revision ends them.
+    # A record without changes is still useful when a holder that should gain has ceded units: the
+    # record starts a new revision, at which the holder may use its whole allowance again.
     if state.limits.balance.tokens < 1.0 or (not changes and not is_capped):
         return
     state.limits.balance.tokens -= 1.0
@@ -249,6 +266,10 @@
 def _allowance_changes(
     team: Team, allowance: TeamAllowance, targets: Mapping[str, int], ceded: Mapping[str, int]
 ) -> dict[str, int]:
+    """
+    Return the new allowances of the holders whose allowance changes. Only free and ceded units are
+    allocated.
+    """
     held = allowance.held
     new = {key: min(units, ceded.get(key, units)) for key, units in held.items()}
     available = team.limit - sum(new.values()) - sum(allowance.recovering.values())
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_lease.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_allowance_lease.py
@@ -32,7 +32,8 @@
 from ._state import State
 
 LEASE_S = 30.0
-# Age at which a lease is renewed, and the same for a holder without all its reclaimers.
+# Age at which a lease is renewed; less for a holder that lacks some of its reclaimers, because its
+# lease can't be extended while the log is unavailable.
 RENEW_AFTER_S = 10.0
 RENEW_UNPROTECTED_AFTER_S = 1.0
 # Time after which a renewal without a known outcome is proposed again.
@@ -242,6 +243,9 @@
 
 
 def _reclaim(state: State, key: str, lease: HolderLease, watch: LeaseWatch) -> Iterator[object]:
+    """
+    Propose the reclaim of a lease that has certainly expired.
+    """
     if watch.reclaiming or own_lease(state) is None:
         return
     own_key = holder_key(state.identity.sender)
@@ -249,6 +253,8 @@
     if watch.orphaned:
         order = tuple(rank(key, list(registered_keys(state.fold.allowances))))
     wait_s = expiry_wait_s(0.0)
+    # An instance that isn't a reclaimer doesn't know which extensions were granted, so it waits for
+    # the longest one.
     if own_key in order:
         wait_s += order.index(own_key) * RECLAIM_STAGGER_S
     else:
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_effects.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_effects.py
@@ -24,7 +24,7 @@
     Send a request's body to an endpoint.
 
     :param attempt: id of the attempt.
-    :param token: token of the exchange whose body is sent.
+    :param token: token of the HTTP exchange with the caller whose body is sent.
     :param endpoint: id of the endpoint.
     :param address: ``IP:PORT`` of the endpoint.
     :param timeout_s: seconds after which the attempt fails.
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_fair.py
@@ -50,7 +50,8 @@
     waiting = [team for team in service.teams.values() if is_waiting(team)]
     for team in sorted(waiting, key=lambda team: team.virtual_s):
         if team.virtual_s > service.ceiling_s and not ignore_ceiling:
-            # A team that waits only at other instances has been served less.
+            # Above the ceiling, a team that waits only at other instances has been served less and
+            # goes first.
             return None
         requests = team.urgent or team.normal
         team.is_blocked = not may_start(requests[0])
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins.py
@@ -1,5 +1,6 @@
 """
-Deduplication of requests by id: a repeat waits for the first request, or gets its outcome.
+Deduplication of requests by id: a repeat joins the first request and waits for its outcome, or gets
+the outcome that was kept.
 """
 
 from collections.abc import Iterator
@@ -132,7 +133,8 @@
 
     :param state: the known requests are changed in place.
     :param req: the request.
-    :param refusal: why; when it says that nothing ran, any instance may accept the request again.
+    :param refusal: the reason; when it states that nothing ran, the claim is released and any
+        instance may accept the request again.
     :returns: effects.
     """
     known = state.joins.known[req.key]
@@ -153,7 +155,7 @@
 
     :param state: the known requests are changed in place.
     :param req: the request.
-    :param refusal: why.
+    :param refusal: the reason.
     :returns: effects.
     """
     for token in _close(state, req, state.joins.known[req.key]):
@@ -198,6 +200,9 @@
 
 
 def _close(state: State, req: Request, known: KnownRequest) -> list[int]:
+    """
+    Close all exchanges of a request, schedule the removal of its entry, and return their tokens.
+    """
     tokens = known.tokens
     known.tokens = []
     known.req = None
@@ -212,6 +217,9 @@
 
 
 def _drop_answer(state: State, attempt: str) -> DropAnswer:
+    """
+    Discard a kept answer. Only a non-idempotent request stays known, so that a repeat is refused.
+    """
     key = state.joins.kept_answers.pop(attempt)
     known = state.joins.known[key]
     state.joins.kept_bytes -= known.size_bytes
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_claims.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_claims.py
@@ -18,6 +18,8 @@
 # Time after the caller's deadline for which an outcome is kept.
 OUTCOME_RETENTION_S = 60.0
 RESEND_S = 0.2
+# Delay after which callers may retry: when another instance holds the claim, and when too few
+# voters answered.
 HELD_RETRY_S = 1.0
 UNRESOLVED_RETRY_S = 2.0
 
@@ -70,7 +72,7 @@
 
 def on_tick(state: State, event: Ticked) -> Iterator[object]:
     """
-    Ask voters that have not granted a claim again, or let it fail after the timeout.
+    Resend pending claims to the voters that haven't granted them, and fail those that timed out.
     """
     for pending in list(state.joins.pending.values()):
         if pending.give_up_s <= state.now_s:
@@ -99,7 +101,8 @@
 def _count_vote(
     state: State, pending: PendingClaim, voter: str, voted: ClaimVoted
 ) -> Iterator[object]:
-    # After a pause of this process, a late majority may rest on votes that have since been lost.
+    # If this process was suspended, voters may since have restarted and lost the votes counted here,
+    # so a late majority does not count.
     if pending.give_up_s <= state.now_s:
         return
     (pending.granted if voted.granted else pending.denied).add(voter)
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_events.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_events.py
@@ -20,10 +20,10 @@
 
 class ClaimFailed(NamedTuple):
     """
-    This instance was not granted the right to run a request.
+    The voters denied this instance the right to run a request, or didn't grant it in time.
 
     :param req: the request.
-    :param refusal: the refusal that its callers get.
+    :param refusal: the refusal to send to its callers.
     """
 
     req: Request
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_codec.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_codec.py
@@ -1,9 +1,11 @@
 """
-Encodes the fold as a snapshot and decodes it, also across versions of the program.
+Encodes the fold, the state built from the log's records, as a snapshot and decodes it, also across
+versions of the program.
 
-A version accepts a snapshot if it knows all record kinds that the maker knew. Records of kinds that
-only the reader knows are contained in the snapshot, and the reader applies them. A snapshot of a
-newer maker is rejected, because the part of it that is unknown here would become outdated.
+A version accepts a snapshot if it knows all record kinds that the builder knew. Records of kinds
+that only the reader knows are kept unapplied in the snapshot, and the reader applies them. A
+snapshot of a newer builder is rejected, because this version can't apply later records of the kinds
+that it doesn't know, so their state would become stale.
 """
 
 from collections.abc import Mapping
@@ -25,7 +27,7 @@
     Start of a snapshot, which is decoded first.
 
     :param format: version of the layout of the fold.
-    :param kinds: record kinds that the maker knew.
+    :param kinds: record kinds that the builder knew.
     """
 
     format: int
@@ -70,7 +72,7 @@
 
 def decode_snapshot(raw: RawSnapshot, appliers: Mapping[str, Applier]) -> Fold:
     """
-    Decode a snapshot, and apply its records of kinds that the maker did not know.
+    Decode a snapshot, and apply its records of kinds that the builder did not know.
 
     :param raw: the snapshot.
     :param appliers: appliers of the record kinds that this version knows.
@@ -87,7 +89,7 @@
         raise SnapshotError("offset of the snapshot differs from the offset of its fold")
     lost = sorted(set(fold.position.unknown.lost) & set(appliers))
     if lost:
-        raise SnapshotError(f"maker has dropped records of kinds {', '.join(lost)}")
+        raise SnapshotError(f"builder has dropped records of kinds {', '.join(lost)}")
     apply_unknown_records(fold.position, appliers, fold)
     return fold
 
@@ -97,4 +99,6 @@
         raise SnapshotError(f"unsupported format {header.format}")
     newer = sorted(set(header.kinds) - set(appliers))
     if newer:
-        raise SnapshotError(f"maker knew newer kinds {', '.join(newer)}")
+        raise SnapshotError(
+            f"builder knew record kinds unknown to this version: {', '.join(newer)}"
+        )
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_peer.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_snapshots_peer.py
@@ -25,7 +25,8 @@
 
 def request_state(state: State) -> Iterator[object]:
     """
-    Request state from a peer when it is time, and from another one if the first doesn't answer.
+    Request state from a peer once the snapshot stream has failed or had time to supply a snapshot,
+    and from another peer if the first doesn't answer.
 
     :param state: the state.
     :returns: effects.
@@ -114,7 +115,8 @@
 
 def drop_expired_shared_snapshot(state: State) -> None:
     """
-    Free the snapshot that was built for peers, some time after the end of its reuse.
+    Free the snapshot that was built for peers, once transfers that started while it was shared have
+    had time to end.
 
     :param state: the state.
     """
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_waves_preview.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_waves_preview.py
@@ -72,6 +72,10 @@
 
 
 def _min_headroom(view: WaveView, stops: list[WaveStop]) -> int:
+    """
+    Return the smallest headroom that a wave leaves in the budgets of the pools that it affects,
+    except spare pools.
+    """
     budget_by_pool = {pool.name: pool.budget for pool in view.pools}
     serving = {pool.budget for pool in view.pools if not pool.spare}
     used: dict[str, int] = {}
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_reduce.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_reduce.py
@@ -54,6 +54,9 @@
 
 
 def _advance(node: Node, at: Moment) -> None:
+    """
+    Run the steps that follow every event: process appended batches, plan, append and read records.
+    """
     _intake.take_outcomes(node, at)
     _intake.flush(node, at)
     if node.ownership.is_owner:
@@ -99,6 +102,9 @@
 
 
 def _owner_appended(node: Node, at: Moment, event: events.Appended) -> None:
+    """
+    Process the outcome of an append of the owner, which steps down if the append was refused.
+    """
     in_flight = node.journal.in_flight
     callers = list(in_flight.callers) if in_flight is not None else []
     if not _journal.on_appended(node, at, event):
--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_tail.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/jobs/_tail.py
@@ -1,5 +1,5 @@
 """
-Reads the job log and applies its records to the replicated state.
+Tails the job log and applies its records to the replicated state.
 """
 
 from . import _fold, _instances, _intake, _ownership, _replicated_state, _snapshot, effects, events
@@ -121,6 +121,7 @@
     tail.next_read_s = at.now_s + RETRY_S
     if tail.readable_since_s <= at.now_s:
         log_line(node, "store.log_unreadable", reason=event.reason, offset=node.replicated.offset)
+    # Later than any time, until a read succeeds.
     tail.readable_since_s = 1e18
 
 
@@ -207,7 +208,7 @@
         return
     node.tail.owner_record_s = at.now_s
     if node.ownership.is_owner and record.epoch == node.ownership.epoch:
-        # The owner applied the record when it wrote it. That it is read shows that it is
+        # The owner applied the record when it wrote it. Reading it back proves that it is
         # committed, even if the response to its append was lost.
         _fold.confirm(node.replicated, record)
         return
--- a/packages/eelgrassdrum-core/tests/test_jobs_orders.py
+++ b/packages/eelgrassdrum-core/tests/test_jobs_orders.py
@@ -35,7 +35,7 @@
 
 def worker_lists(sent_s, runs=(), ends=()):
     """
-    Return the lists of the worker, requested at a time.
+    Build the worker's lists of runs and exits, requested at the given time.
     """
     return events.HoldAnswered("w", OWNER_TOKEN, sent_s, 8000, 7, runs, ends)
 
@@ -49,8 +49,8 @@
 
 def test_unanswered_order_is_not_sent_again(unanswered):
     """
-    An unanswered order leads to a request of the lists, since a second copy of the order could be
-    carried out after the first run has exited.
+    After an unanswered order the owner requests the worker's lists instead of sending it again,
+    since a second copy could be carried out after the first run has exited.
     """
     _node, _order, produced = unanswered
     assert of_type(produced, effects.StartTask) == []
@@ -71,7 +71,8 @@
 
 def test_run_is_stopped_before_its_task_is_retried(unanswered):
     """
-    A task whose order is not in the lists is retried only after the worker has barred the run.
+    A task whose run isn't listed is retried only after the worker has acknowledged a stop of the
+    run, and lists requested after that don't contain it either.
     """
     node, order, _produced = unanswered
     produced = feed(node, GIVEN_UP_S + 0.01, worker_lists(GIVEN_UP_S))
--- a/packages/eelgrassdrum-core/tests/test_pools.py
+++ b/packages/eelgrassdrum-core/tests/test_pools.py
@@ -59,7 +59,7 @@
 
 def make_log() -> FoldedLog:
     """
-    Build two services of three instances each and a spare pool, controlled by c1.
+    Build a log with two services and a spare pool of three instances each, controlled by c1.
     """
     log = FoldedLog()
     document = {
@@ -130,7 +130,7 @@
 
 
 def test_concurrent_requests_have_one_winner(log: FoldedLog) -> None:
-    """Of two requests on one revision the first one wins, and the planner has to follow it."""
+    """Of two requests on one revision the first is accepted, and the planner may only follow it."""
     base = log.fold.position.revisions["move/spare0"]
     request = {"instance": "spare0", "author": "op", "comment": ""}
     subject = "move/spare0"
