--- a/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_claims.py
+++ b/packages/eelgrassdrum-core/src/eelgrassdrum_core/_joins_claims.py
@@ -101,8 +101,8 @@
 def _count_vote(
     state: State, pending: PendingClaim, voter: str, voted: ClaimVoted
 ) -> Iterator[object]:
-    # If this process was suspended, voters may since have restarted and lost the votes counted here,
-    # so a late majority does not count.
+    # If this process was suspended, voters may since have restarted and lost the votes counted
+    # here, so a late majority does not count.
     if pending.give_up_s <= state.now_s:
         return
     (pending.granted if voted.granted else pending.denied).add(voter)
--- a/packages/eelgrassdrum-core/tests/test_fair.py
+++ b/packages/eelgrassdrum-core/tests/test_fair.py
@@ -29,7 +29,7 @@
 
 def run_next(fair: FairState, shares: dict[str, float], run_s: float, now_s: float) -> str:
     """
-    Start the next request in fair order, charge it the given run time, and return its team.
+    Start the next request in fair order and end it after the given run time; return its team.
     """
     req = _fair.pop(fair, SERVICE, lambda req: True)
     assert req is not None
