--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_app.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_app.py
@@ -34,7 +34,7 @@
 TICK_INTERVAL_S = 0.05
 # An instance that has not read the store for this long can take no jobs in and sends callers to the
 # others; a read waits half a second, and a slow store answers in a quarter of one.
-READY_STALE_S = 1.5
+READINESS_MAX_AGE_S = 1.5
 # Open connections to the store: reads that wait, and appends.
 STORE_CONNS = 8
 # Connections to one worker: one that waits for ends, and the orders.
@@ -45,7 +45,7 @@
 MAX_CALLER_BODY_BYTES = 256 * 1024
 MAX_BUFFERED_BYTES = 32 * 1024 * 1024
 READ_TIMEOUT_S = 10.0
-MAX_CALLERS = 3_000
+MAX_CALLER_CONNS = 3_000
 TRACEBACK_LINES = 8
 
 
@@ -96,8 +96,8 @@
         incarnation = time.time_ns() // 1_000_000
         identity = Identity(instance, incarnation, zone, weakness, peers)
         self.node = new_node(identity, bounds)
-        self._pending: deque[object] = deque()
-        self._reducing = False
+        self._pending_events: deque[object] = deque()
+        self._is_reducing = False
         self._ports: Ports | None = None
         self._open_sockets(front, ready, metrics, peers)
 
@@ -110,15 +110,21 @@
         self.control_pool = make_pool(CONTROL_CONNS, channel="control").register(self)
         self.peer_pool = make_pool(PEER_CONNS, channel="peer-calls").register(self)
         limits = ServerLimits(
-            MAX_CALLER_BODY_BYTES, MAX_BUFFERED_BYTES, READ_TIMEOUT_S, MAX_CALLERS
+            MAX_CALLER_BODY_BYTES, MAX_BUFFERED_BYTES, READ_TIMEOUT_S, MAX_CALLER_CONNS
+        )
+        start_server = partial(self._start_server, scheduler, limits)
+        self.front = start_server(front, "front", self._on_call, self._on_abandoned)
+        self.ready = start_server(ready, "ready", self._on_readiness_probe, _ignore_abandoned)
+        self.scrapes = start_server(metrics, "metrics", self._on_scrape, _ignore_abandoned)
+        self.peers = (
+            start_server(peers, "peers", self._on_peer_request, _ignore_abandoned)
+            if peers
+            else None
         )
-        serve = partial(self._serve, scheduler, limits)
-        self.front = serve(front, "front", self._on_call, self._on_abandoned)
-        self.ready = serve(ready, "ready", self._on_ready_asked, _ignore)
-        self.scrapes = serve(metrics, "metrics", self._on_scrape, _ignore)
-        self.peers = serve(peers, "peers", self._on_peer, _ignore) if peers else None
 
-    def _serve(self, scheduler, limits, address, channel, on_request, on_abandoned) -> HttpServer:
+    def _start_server(
+        self, scheduler, limits, address, channel, on_request, on_abandoned
+    ) -> HttpServer:
         host, _, port = address.rpartition(":")
         server = HttpServer(
             (host, int(port)), scheduler, limits, on_request, on_abandoned, channel=channel
@@ -137,7 +143,9 @@
             effects.Reply: self._reply,
             effects.WriteLine: self._write_line,
             effects.Exit: self._exit,
-            effects.Forward: _peers.make_forward(self.peer_pool, self.post, INTAKE_CHANNEL),
+            effects.Forward: _peers.make_record_forwarder(
+                self.peer_pool, self.post, INTAKE_CHANNEL
+            ),
             effects.AnswerPeer: self._answer_peer,
         }
 
@@ -147,31 +155,31 @@
 
         :param event: one of the core's events.
         """
-        self._pending.append(event)
-        if self._reducing:
+        self._pending_events.append(event)
+        if self._is_reducing:
             return
-        self._reducing = True
+        self._is_reducing = True
         try:
-            while self._pending:
-                self._reduce(self._pending.popleft())
+            while self._pending_events:
+                self._reduce(self._pending_events.popleft())
         finally:
-            self._reducing = False
+            self._is_reducing = False
 
     def _reduce(self, event: object) -> None:
-        at = Moment(self.clock(), time.time_ns() // 1_000_000)
+        now = Moment(self.clock(), time.time_ns() // 1_000_000)
         try:
-            produced = reduce(self.node, at, event)
+            produced = reduce(self.node, now, event)
         except Exception as exc:
             # What was decided before the fault still has to be carried out.
-            self._write_exception(exc, type(event).__name__)
+            self._log_exception(exc, type(event).__name__)
             produced, self.node.out = self.node.out, []
         for effect in produced:
             try:
                 self._effects[type(effect)](effect)
             except Exception as exc:
-                self._write_exception(exc, type(effect).__name__)
+                self._log_exception(exc, type(effect).__name__)
 
-    def _write_exception(self, exc: BaseException, what: str) -> None:
+    def _log_exception(self, exc: BaseException, what: str) -> None:
         lines = traceback.format_exception(exc)
         self.write(
             "instance.exception",
@@ -188,15 +196,15 @@
             return
         self.post(call)
 
-    def _on_peer(self, exchange: Exchange) -> None:
-        event = _peers.to_event(exchange)
+    def _on_peer_request(self, exchange: Exchange) -> None:
+        event = _peers.decode_records(exchange)
         if event is None:
             self.peers.answer(exchange.token, _peers.MALFORMED_STATUS, {}, b"")
             return
         self.post(event)
 
     def _answer_peer(self, effect: effects.AnswerPeer) -> None:
-        self.peers.answer(effect.token, _peers.STATUS_OF[effect.outcome], {}, b"")
+        self.peers.answer(effect.token, _peers.STATUS_BY_OUTCOME[effect.outcome], {}, b"")
 
     def _on_abandoned(self, token: int) -> None:
         self.post(events.CallAbandoned(token))
@@ -207,7 +215,7 @@
         self.front.answer(reply.token, status, headers, body)
 
     def _write_line(self, line: effects.WriteLine) -> None:
-        _metrics.take_line(self.metrics, line)
+        _metrics.count_log_line(self.metrics, line)
         self.write(line.action, **line.fields)
 
     def _exit(self, _effect: effects.Exit) -> None:
@@ -223,9 +231,9 @@
         node = self.node
         age_s = self.clock() - node.tail.last_success_s
         is_loaded = node.config is not None and not node.tail.needs_snapshot
-        return is_loaded and not node.is_stopping and age_s < READY_STALE_S
+        return is_loaded and not node.is_stopping and age_s < READINESS_MAX_AGE_S
 
-    def _on_ready_asked(self, exchange: Exchange) -> None:
+    def _on_readiness_probe(self, exchange: Exchange) -> None:
         status = 200 if self.is_ready() else 503
         self.ready.answer(exchange.token, status, {}, b"")
 
@@ -259,10 +267,10 @@
 
     @handler("exception", channel="*")
     def _on_exception(self, _type, value, _traceback, handler=None, fevent=None):
-        self._write_exception(value, str(fevent))
+        self._log_exception(value, str(fevent))
 
 
-def _ignore(_token: int) -> None:
+def _ignore_abandoned(_token: int) -> None:
     """
     A scraper or balancer that has gone needs nothing.
     """
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_logging.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_logging.py
@@ -21,26 +21,26 @@
 # Lines of ordinary progress that are written in a second; some 40 kB.
 PROGRESS_LINES_PER_S = 200
 # Lines that wait for a slow reader; beyond it the oldest are dropped and counted.
-MAX_WAITING_LINES = 5_000
-PROGRESS = frozenset({"job.accepted", "run.decided", "run.ended", "call.answered"})
+MAX_PENDING_LINES = 5_000
+PROGRESS_ACTIONS = frozenset({"job.accepted", "run.decided", "run.ended", "call.answered"})
 # Ends of these kinds are worth a line even when the volume is bounded.
-KEPT_HOWS = frozenset({"failed", "lost", "lapsed", "refused", "unsent"})
+UNLIMITED_END_STATES = frozenset({"failed", "lost", "lapsed", "refused", "unsent"})
 
 
-class LogState(msgspec.Struct, eq=False):
+class LogBuffer(msgspec.Struct, eq=False):
     """
     Lines that wait, and those that were left out.
 
     :param second: second that is being counted.
-    :param progress: lines of progress in it.
+    :param progress_lines: lines of progress in it.
     """
 
-    waiting: deque[bytes] = msgspec.field(default_factory=deque)
+    pending_lines: deque[bytes] = msgspec.field(default_factory=deque)
     second: int = 0
-    progress: int = 0
-    left_out: int = 0
-    dropped: int = 0
-    blocked_part: bytes = b""
+    progress_lines: int = 0
+    suppressed_lines: int = 0
+    dropped_lines: int = 0
+    unsent_bytes: bytes = b""
 
 
 def make_stdout_writer(instance: str, zone: str) -> Write:
@@ -51,19 +51,19 @@
     :param zone: its availability zone, part of every line.
     :returns: a function that takes the action and more fields; it must be given no secrets.
     """
-    state = LogState()
+    log_buffer = LogBuffer()
     descriptor = sys.stdout.fileno()
     _set_nonblocking(descriptor)
-    eliot.add_destinations(lambda message: _emit(state, descriptor, message))
+    eliot.add_destinations(lambda message: _emit(log_buffer, descriptor, message))
 
     def write(action: str, /, **fields: Any) -> None:
-        if not _is_wanted(state, action, fields):
-            state.left_out += 1
+        if not _should_write(log_buffer, action, fields):
+            log_buffer.suppressed_lines += 1
             return
-        if state.left_out:
-            left_out, state.left_out = state.left_out, 0
+        if log_buffer.suppressed_lines:
+            suppressed_lines, log_buffer.suppressed_lines = log_buffer.suppressed_lines, 0
             eliot.log_message(
-                message_type="log.left_out", instance=instance, zone=zone, lines=left_out
+                message_type="log.left_out", instance=instance, zone=zone, lines=suppressed_lines
             )
         eliot.log_message(message_type=action, instance=instance, zone=zone, fields=fields)
 
@@ -77,36 +77,36 @@
         print(f"standard output stays blocking: {exc}", file=sys.stderr)
 
 
-def _is_wanted(state: LogState, action: str, fields: dict[str, Any]) -> bool:
-    if action not in PROGRESS or fields.get("how") in KEPT_HOWS:
+def _should_write(log_buffer: LogBuffer, action: str, fields: dict[str, Any]) -> bool:
+    if action not in PROGRESS_ACTIONS or fields.get("how") in UNLIMITED_END_STATES:
         return True
     second = int(time.monotonic())
-    if second != state.second:
-        state.second, state.progress = second, 0
-    state.progress += 1
-    return state.progress <= PROGRESS_LINES_PER_S
+    if second != log_buffer.second:
+        log_buffer.second, log_buffer.progress_lines = second, 0
+    log_buffer.progress_lines += 1
+    return log_buffer.progress_lines <= PROGRESS_LINES_PER_S
 
 
-def _emit(state: LogState, descriptor: int, message: dict[str, Any]) -> None:
-    state.waiting.append(msgspec.json.encode(message, enc_hook=str) + b"\n")
-    if len(state.waiting) > MAX_WAITING_LINES:
-        state.waiting.popleft()
-        state.dropped += 1
-    _flush(state, descriptor)
+def _emit(log_buffer: LogBuffer, descriptor: int, message: dict[str, Any]) -> None:
+    log_buffer.pending_lines.append(msgspec.json.encode(message, enc_hook=str) + b"\n")
+    if len(log_buffer.pending_lines) > MAX_PENDING_LINES:
+        log_buffer.pending_lines.popleft()
+        log_buffer.dropped_lines += 1
+    _flush(log_buffer, descriptor)
 
 
-def _flush(state: LogState, descriptor: int) -> None:
-    while state.waiting or state.blocked_part:
-        data = state.blocked_part or state.waiting.popleft()
+def _flush(log_buffer: LogBuffer, descriptor: int) -> None:
+    while log_buffer.pending_lines or log_buffer.unsent_bytes:
+        data = log_buffer.unsent_bytes or log_buffer.pending_lines.popleft()
         try:
             sent = os.write(descriptor, data)
         except BlockingIOError:
-            state.blocked_part = data
+            log_buffer.unsent_bytes = data
             return
         except OSError:
             # Nobody reads the log any more; there is nowhere left to say so.
-            state.dropped += 1 + len(state.waiting)
-            state.waiting.clear()
-            state.blocked_part = b""
+            log_buffer.dropped_lines += 1 + len(log_buffer.pending_lines)
+            log_buffer.pending_lines.clear()
+            log_buffer.unsent_bytes = b""
             return
-        state.blocked_part = data[sent:]
+        log_buffer.unsent_bytes = data[sent:]
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_metrics.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_metrics.py
@@ -14,7 +14,7 @@
 
 # Names beyond this share one histogram, so that the memory for them is bounded.
 MAX_SERIES = 256
-OTHER = "other"
+OVERFLOW_LABEL = "other"
 PREFIX = "eelgrassdrum"
 
 
@@ -23,14 +23,14 @@
     What an instance has counted since its start.
 
     :param counts: by name and label.
-    :param times: histograms by name and label.
+    :param durations: histograms by name and label.
     """
 
     counts: Counter[tuple[str, str]] = msgspec.field(default_factory=Counter)
-    times: dict[tuple[str, str], HdrHistogram] = {}
+    durations: dict[tuple[str, str], HdrHistogram] = {}
 
 
-def observe(metrics: JobMetrics, name: str, label: str, seconds: float) -> None:
+def record_duration(metrics: JobMetrics, name: str, label: str, seconds: float) -> None:
     """
     Count a time.
 
@@ -40,11 +40,11 @@
     :param seconds: the time.
     """
     key = (name, label)
-    if key not in metrics.times:
-        if len(metrics.times) >= MAX_SERIES:
-            key = (name, OTHER)
-        metrics.times.setdefault(key, new_histogram())
-    histogram = metrics.times[key]
+    if key not in metrics.durations:
+        if len(metrics.durations) >= MAX_SERIES:
+            key = (name, OVERFLOW_LABEL)
+        metrics.durations.setdefault(key, new_histogram())
+    histogram = metrics.durations[key]
     units = max(1, min(round(seconds / UNIT_S), histogram.highest_trackable_value))
     histogram.record_value(units)
 
@@ -59,11 +59,11 @@
     """
     key = (name, label)
     if key not in metrics.counts and len(metrics.counts) >= MAX_SERIES:
-        key = (name, OTHER)
+        key = (name, OVERFLOW_LABEL)
     metrics.counts[key] += 1
 
 
-def take_line(metrics: JobMetrics, line: effects.WriteLine) -> None:
+def count_log_line(metrics: JobMetrics, line: effects.WriteLine) -> None:
     """
     Count a line of the structured log, with the times that it holds.
 
@@ -75,12 +75,12 @@
     count(metrics, line.action.replace(".", "_"), str(label))
     queue = fields.get("queue")
     if line.action == "job.closed":
-        observe(metrics, "job_age", str(queue), fields["age_s"])
-        observe(metrics, "workspace_job_age", str(fields["workspace"]), fields["age_s"])
+        record_duration(metrics, "job_age", str(queue), fields["age_s"])
+        record_duration(metrics, "workspace_job_age", str(fields["workspace"]), fields["age_s"])
     elif line.action == "job.accepted":
-        observe(metrics, "accept", str(queue), fields["wait_s"])
+        record_duration(metrics, "accept", str(queue), fields["wait_s"])
     elif line.action == "run.ended" and fields.get("ran_s") is not None:
-        observe(metrics, "run", str(fields.get("how")), fields["ran_s"])
+        record_duration(metrics, "run", str(fields.get("how")), fields["ran_s"])
 
 
 def render(metrics: JobMetrics, node: Node) -> bytes:
@@ -95,7 +95,7 @@
         f'{PREFIX}_{name}_total{{label="{_escape(label)}"}} {value}'
         for (name, label), value in sorted(metrics.counts.items())
     ]
-    for (name, label), histogram in sorted(metrics.times.items()):
+    for (name, label), histogram in sorted(metrics.durations.items()):
         text = _escape(label)
         for percentile in PERCENTILES:
             value_s = histogram.get_value_at_percentile(percentile) * UNIT_S
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_peers.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_peers.py
@@ -17,8 +17,8 @@
 from .._server_state import Exchange
 
 RECORDS_PATH = "/records"
-STATUS_OF = {events.OK: 200, events.REFUSED: 409, events.UNKNOWN: 504}
-OUTCOME_OF = {status: outcome for outcome, status in STATUS_OF.items()}
+STATUS_BY_OUTCOME = {events.OK: 200, events.REFUSED: 409, events.UNKNOWN: 504}
+OUTCOME_BY_STATUS = {status: outcome for outcome, status in STATUS_BY_OUTCOME.items()}
 MALFORMED_STATUS = 400
 
 
@@ -31,7 +31,7 @@
 _decoder = msgspec.msgpack.Decoder(_Records)
 
 
-def make_forward(
+def make_record_forwarder(
     pool: HttpPool, post: Callable[[object], None], channel: str
 ) -> Callable[[effects.Forward], None]:
     """
@@ -45,7 +45,7 @@
 
     def forward(effect: effects.Forward) -> None:
         def on_done(outcome: HttpOutcome) -> None:
-            post(events.Appended(channel, effect.seq, *forward_outcome(outcome)))
+            post(events.Appended(channel, effect.seq, *to_append_outcome(outcome)))
 
         body = _encoder.encode(_Records(effect.epoch, effect.records))
         pool.submit(
@@ -57,7 +57,7 @@
     return forward
 
 
-def forward_outcome(outcome: HttpOutcome) -> tuple[str, str]:
+def to_append_outcome(outcome: HttpOutcome) -> tuple[str, str]:
     """
     Say what became of forwarded records.
 
@@ -68,10 +68,10 @@
         return (events.UNKNOWN if outcome.sent else events.REFUSED), outcome.reason
     if outcome.status == MALFORMED_STATUS:
         return events.REFUSED, str(outcome.status)
-    return OUTCOME_OF.get(outcome.status, events.UNKNOWN), str(outcome.status)
+    return OUTCOME_BY_STATUS.get(outcome.status, events.UNKNOWN), str(outcome.status)
 
 
-def to_event(exchange: Exchange) -> Any:
+def decode_records(exchange: Exchange) -> Any:
     """
     Read records that another instance sends.
 
