--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/__init__.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/__init__.py
@@ -1,5 +1,6 @@
 """
-The instance that schedules jobs: sockets, timers and effects around the reducer of jobs.
+The process of an instance that schedules jobs: event loop, sockets, timers, structured log and
+metrics around the reducer of jobs.
 """
 
 from ._app import JobApp, run_app
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_app.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_app.py
@@ -1,5 +1,5 @@
 """
-The instance: tells the reducer of jobs what happens and carries out its effects.
+The event loop of an instance: passes events to the reducer of jobs and executes its effects.
 """
 
 import os
@@ -32,15 +32,16 @@
 from ._ports import Ports
 
 TICK_INTERVAL_S = 0.05
-# An instance that has not read the store for this long can take no jobs in and sends callers to the
-# others; a read waits half a second, and a slow store answers in a quarter of one.
+# An instance whose last successful read of the store is older than this can't accept jobs; it
+# reports not ready, so that callers are routed to other instances. The limit covers a long poll of
+# 0.5 s and a slow store's response time of 0.25 s.
 READINESS_MAX_AGE_S = 1.5
-# Open connections to the store: reads that wait, and appends.
+# Connections to the store, for long-polling reads and appends.
 STORE_CONNS = 8
-# Connections to one worker: one that waits for ends, and the orders.
+# Connections to one worker: one long poll for completions of runs, the others for orders.
 WORKER_CONNS = 8
 CONTROL_CONNS = 24
-# Connections to the owner; an instance sends it one batch at a time.
+# Connections to the owner; an instance sends one batch at a time.
 PEER_CONNS = 4
 MAX_CALLER_BODY_BYTES = 256 * 1024
 MAX_BUFFERED_BYTES = 32 * 1024 * 1024
@@ -51,16 +52,16 @@
 
 def boot_clock() -> float:
     """
-    Give a clock that also counts the time in which the instance was suspended.
+    Return the time of a monotonic clock that also advances while the machine is suspended.
 
-    :returns: seconds.
+    :returns: seconds since boot.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class JobApp(BaseComponent):
     """
-    One instance that schedules jobs.
+    The event loop of one instance that schedules jobs.
     """
 
     channel = "jobs"
@@ -78,17 +79,17 @@
         peers: str = "",
     ) -> None:
         """
-        Open the sockets; nothing is sent before the event loop runs.
+        Open the listening sockets; nothing is sent until the event loop runs.
 
         :param instance: id of this instance.
         :param zone: its availability zone.
-        :param bounds: times that the platform promises or asks for.
-        :param front: address for callers.
-        :param ready: address for the balancer.
-        :param metrics: address for scrapers.
+        :param bounds: time limits that the platform guarantees or requires.
+        :param front: listening address for callers, as ``host:port``.
+        :param ready: listening address for readiness probes of the load balancer.
+        :param metrics: listening address for scrapers.
         :param write: writes a line of the structured log.
-        :param weakness: how little this instance can carry the owner's load, 0 to 1.
-        :param peers: address for other instances, or empty for none.
+        :param weakness: 0 when this instance can carry the owner's load, up to 1 when it can't.
+        :param peers: listening address for other instances; empty for none.
         """
         self.write = write
         self.clock = boot_clock
@@ -133,9 +134,9 @@
 
     def connect(self, ports: Ports) -> None:
         """
-        Take the functions that reach the platform.
+        Set the platform's functions, which execute effects and read requests.
 
-        :param ports: the functions.
+        :param ports: functions of the platform's adapter.
         """
         self._ports = ports
         self._effects = {
@@ -151,7 +152,9 @@
 
     def post(self, event: object) -> None:
         """
-        Reduce an event and carry out its effects, after those that are being reduced already.
+        Reduce an event and execute its effects.
+
+        An event that is posted while another one is being reduced is queued after it.
 
         :param event: one of the core's events.
         """
@@ -170,7 +173,7 @@
         try:
             produced = reduce(self.node, now, event)
         except Exception as exc:
-            # What was decided before the fault still has to be carried out.
+            # Effects that were produced before the exception still have to be executed.
             self._log_exception(exc, type(event).__name__)
             produced, self.node.out = self.node.out, []
         for effect in produced:
@@ -224,9 +227,9 @@
 
     def is_ready(self) -> bool:
         """
-        Tell whether callers should be forwarded here.
+        Return whether the load balancer should route callers to this instance.
 
-        :returns: whether it can take calls.
+        :returns: whether it can accept calls.
         """
         node = self.node
         age_s = self.clock() - node.tail.last_success_s
@@ -259,7 +262,7 @@
 
     @handler("signal", channel="*", priority=100)
     def _on_signal(self, event, signo, _stack):
-        # The handlers of circuits would close the listening sockets and end the process.
+        # Default handlers of circuits would close the listening sockets and end the process.
         event.stop()
         if signo in (signal.SIGTERM, signal.SIGINT):
             self.front.close_after_answers()
@@ -272,13 +275,14 @@
 
 def _ignore_abandoned(_token: int) -> None:
     """
-    A scraper or balancer that has gone needs nothing.
+    Ignore a scraper, load balancer or peer that closed its connection; there is no state to clean
+    up.
     """
 
 
 def run_app(app: JobApp) -> None:
     """
-    Run an instance until it is asked to stop.
+    Run an instance until it is requested to stop.
 
     :param app: the instance.
     """
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_logging.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_logging.py
@@ -1,9 +1,9 @@
 """
-The structured log on standard output, bounded in volume.
+The structured log on standard output, limited in volume.
 
-Lines wait in a buffer that is written from the event loop, so a reader that falls behind delays no
-decision. Beyond a rate, lines of ordinary progress are left out and counted; lines of what was
-refused, failed or cancelled, and of what an instance believes, are always kept.
+Lines are buffered and written without blocking the event loop, so a slow reader delays no decision.
+Lines of routine progress above a rate are suppressed and counted. Lines about anything refused,
+failed or cancelled, and about an instance's view of the system, are not suppressed.
 """
 
 import os
@@ -18,21 +18,25 @@
 
 Write = Callable[..., None]
 
-# Lines of ordinary progress that are written in a second; some 40 kB.
+# Lines of routine progress written per second, about 40 kB.
 PROGRESS_LINES_PER_S = 200
-# Lines that wait for a slow reader; beyond it the oldest are dropped and counted.
+# Lines buffered for a slow reader; above it the oldest lines are dropped and counted.
 MAX_PENDING_LINES = 5_000
 PROGRESS_ACTIONS = frozenset({"job.accepted", "run.decided", "run.ended", "call.answered"})
-# Ends of these kinds are worth a line even when the volume is bounded.
+# Runs that end in these states are logged even above the rate limit.
 UNLIMITED_END_STATES = frozenset({"failed", "lost", "lapsed", "refused", "unsent"})
 
 
 class LogBuffer(msgspec.Struct, eq=False):
     """
-    Lines that wait, and those that were left out.
-
-    :param second: second that is being counted.
-    :param progress_lines: lines of progress in it.
+    Lines waiting to be written, and counts of suppressed and dropped lines.
+
+    :param pending_lines: encoded lines, oldest first.
+    :param second: second of the monotonic clock to which `progress_lines` applies.
+    :param progress_lines: lines of routine progress in this second, including suppressed ones.
+    :param suppressed_lines: lines above the rate limit since the last report of them.
+    :param dropped_lines: lines lost because the buffer was full or standard output failed.
+    :param unsent_bytes: line, or the rest of one, that standard output didn't accept yet.
     """
 
     pending_lines: deque[bytes] = msgspec.field(default_factory=deque)
@@ -45,11 +49,11 @@
 
 def make_stdout_writer(instance: str, zone: str) -> Write:
     """
-    Give the function that writes one line.
+    Build the function that writes one line.
 
     :param instance: id of this instance, part of every line.
     :param zone: its availability zone, part of every line.
-    :returns: a function that takes the action and more fields; it must be given no secrets.
+    :returns: a function that takes the action and further fields; callers must pass no secrets.
     """
     log_buffer = LogBuffer()
     descriptor = sys.stdout.fileno()
@@ -74,7 +78,7 @@
     try:
         os.set_blocking(descriptor, False)
     except OSError as exc:
-        print(f"standard output stays blocking: {exc}", file=sys.stderr)
+        print(f"can't set standard output to non-blocking mode: {exc}", file=sys.stderr)
 
 
 def _should_write(log_buffer: LogBuffer, action: str, fields: dict[str, Any]) -> bool:
@@ -104,7 +108,7 @@
             log_buffer.unsent_bytes = data
             return
         except OSError:
-            # Nobody reads the log any more; there is nowhere left to say so.
+            # Standard output has no reader any more, so the failure can't be logged.
             log_buffer.dropped_lines += 1 + len(log_buffer.pending_lines)
             log_buffer.pending_lines.clear()
             log_buffer.unsent_bytes = b""
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_metrics.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_metrics.py
@@ -1,5 +1,5 @@
 """
-Counters and latency histograms of an instance, as text that scrapers read.
+Counters, gauges and latency histograms of an instance, rendered as text for scrapers.
 """
 
 from collections import Counter
@@ -12,7 +12,7 @@
 
 from .._metrics import PERCENTILES, UNIT_S, new_histogram
 
-# Names beyond this share one histogram, so that the memory for them is bounded.
+# Above this number of series, new labels of a name share the series `other`; this limits memory.
 MAX_SERIES = 256
 OVERFLOW_LABEL = "other"
 PREFIX = "eelgrassdrum"
@@ -20,9 +20,9 @@
 
 class JobMetrics(msgspec.Struct, eq=False):
     """
-    What an instance has counted since its start.
+    Counters and histograms of an instance since its start.
 
-    :param counts: by name and label.
+    :param counts: counters by name and label.
     :param durations: histograms by name and label.
     """
 
@@ -32,12 +32,12 @@
 
 def record_duration(metrics: JobMetrics, name: str, label: str, seconds: float) -> None:
     """
-    Count a time.
+    Record a duration in a histogram.
 
     :param metrics: the metrics.
-    :param name: what was timed.
-    :param label: such as a queue.
-    :param seconds: the time.
+    :param name: name of the histogram.
+    :param label: label of the series, such as a queue.
+    :param seconds: the duration.
     """
     key = (name, label)
     if key not in metrics.durations:
@@ -51,11 +51,11 @@
 
 def count(metrics: JobMetrics, name: str, label: str) -> None:
     """
-    Count an event.
+    Increment a counter.
 
     :param metrics: the metrics.
-    :param name: what happened.
-    :param label: such as an outcome.
+    :param name: name of the counter.
+    :param label: label of the series, such as an outcome.
     """
     key = (name, label)
     if key not in metrics.counts and len(metrics.counts) >= MAX_SERIES:
@@ -65,7 +65,7 @@
 
 def count_log_line(metrics: JobMetrics, line: effects.WriteLine) -> None:
     """
-    Count a line of the structured log, with the times that it holds.
+    Count a line of the structured log and record the durations in its fields.
 
     :param metrics: the metrics.
     :param line: the line.
@@ -85,11 +85,11 @@
 
 def render(metrics: JobMetrics, node: Node) -> bytes:
     """
-    Give all metrics as text.
+    Render all metrics as text.
 
     :param metrics: the metrics.
     :param node: the instance's state, for the gauges.
-    :returns: a line for each value.
+    :returns: one line per value, in UTF-8.
     """
     lines = [
         f'{PREFIX}_{name}_total{{label="{_escape(label)}"}} {value}'
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_peers.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_peers.py
@@ -1,8 +1,8 @@
 """
-What instances say to one another: records of callers, handed to the owner of the log.
+The exchange between instances: callers' records are forwarded to the owner of the log.
 
-HTTP is used rather than messages over pynng, since the sender has to know whether any byte of a
-request may have been sent: records that certainly were not may be refused to their caller.
+It uses HTTP instead of messages over pynng because the sender has to know whether any byte of a
+request may have been sent: records that were certainly not sent may be refused to their callers.
 """
 
 from collections.abc import Callable
@@ -35,12 +35,12 @@
     pool: HttpPool, post: Callable[[object], None], channel: str
 ) -> Callable[[effects.Forward], None]:
     """
-    Give the function that sends records of callers to the owner.
+    Build the function that forwards callers' records to the owner.
 
-    :param pool: sends the requests.
-    :param post: takes the outcome, as an append of the channel.
-    :param channel: whose records they are.
-    :returns: the function.
+    :param pool: connections to the owner.
+    :param post: receives the outcome as an `Appended` event.
+    :param channel: channel of that event.
+    :returns: a function that executes the effect `Forward`.
     """
 
     def forward(effect: effects.Forward) -> None:
@@ -59,9 +59,11 @@
 
 def to_append_outcome(outcome: HttpOutcome) -> tuple[str, str]:
     """
-    Say what became of forwarded records.
+    Translate the outcome of a forwarding request to the outcome of an append.
 
-    :param outcome: the owner's answer, or why there is none.
+    Without a response the outcome is `REFUSED` if no byte can have been sent, otherwise `UNKNOWN`.
+
+    :param outcome: the owner's response, or the reason why there is none.
     :returns: one of the outcomes of `events`, and its detail.
     """
     if isinstance(outcome, HttpFailure):
@@ -73,9 +75,9 @@
 
 def decode_records(exchange: Exchange) -> Any:
     """
-    Read records that another instance sends.
+    Decode a request in which another instance forwards records.
 
-    :param exchange: its request.
+    :param exchange: the request.
     :returns: the event, or ``None`` when the request is malformed.
     """
     if exchange.req.method != "POST" or exchange.req.path != RECORDS_PATH:
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_ports.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_ports.py
@@ -1,5 +1,5 @@
 """
-What an instance needs of the platform that it runs on.
+The interface between an instance and the platform on which it runs.
 """
 
 from collections.abc import Callable
@@ -12,12 +12,12 @@
 
 class Ports(NamedTuple):
     """
-    The functions of an adapter.
+    The functions of a platform's adapter.
 
-    :param effects: carries out an effect, by the type of the effect; what comes of it is posted.
-    :param to_call: reads a caller's request; ``None`` when its method is not spoken.
-    :param encode_reply: gives status, headers and body of an answer.
-    :param reload: takes the settings anew, and says what changed.
+    :param effects: functions that execute an effect, by its type; they post the outcome as events.
+    :param to_call: decodes a caller's request; ``None`` when its method is not supported.
+    :param encode_reply: returns status, headers and body of a response.
+    :param reload: reloads the settings and returns what changed.
     """
 
     effects: dict[type, Callable[[Any], None]]
