--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_app.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_app.py
@@ -83,7 +83,7 @@
 
         :param instance: id of this instance.
         :param zone: its availability zone.
-        :param bounds: time limits that the platform guarantees or requires.
+        :param bounds: time limits and rates that the platform guarantees or requires.
         :param front: listening address for callers, as ``host:port``.
         :param ready: listening address for readiness probes of the load balancer.
         :param metrics: listening address for scrapers.
