--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_app.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_app.py
@@ -1,5 +1,5 @@
 """
-The instance: tells the reducer of jobs what happens and carries out its effects.
+The event loop of an instance: passes events to the reducer of jobs and executes its effects.
 """
 
 import os
@@ -32,35 +32,36 @@
 from ._ports import Ports
 
 TICK_INTERVAL_S = 0.05
-# An instance that has not read the store for this long can take no jobs in and sends callers to the
-# others; a read waits half a second, and a slow store answers in a quarter of one.
-READY_STALE_S = 1.5
-# Open connections to the store: reads that wait, and appends.
+# An instance whose last successful read of the store is older than this can't accept jobs; it
+# reports not ready, so that callers are routed to other instances. The limit covers a long poll of
+# 0.5 s and a slow store's response time of 0.25 s.
+READINESS_MAX_AGE_S = 1.5
+# Connections to the store, for long-polling reads and appends.
 STORE_CONNS = 8
-# Connections to one worker: one that waits for ends, and the orders.
+# Connections to one worker: one long poll for completions of runs, the others for orders.
 WORKER_CONNS = 8
 CONTROL_CONNS = 24
-# Connections to the owner; an instance sends it one batch at a time.
+# Connections to the owner; an instance sends one batch at a time.
 PEER_CONNS = 4
 MAX_CALLER_BODY_BYTES = 256 * 1024
 MAX_BUFFERED_BYTES = 32 * 1024 * 1024
 READ_TIMEOUT_S = 10.0
-MAX_CALLERS = 3_000
+MAX_CALLER_CONNS = 3_000
 TRACEBACK_LINES = 8
 
 
 def boot_clock() -> float:
     """
-    Give a clock that also counts the time in which the instance was suspended.
+    Return the time of a monotonic clock that also advances while the machine is suspended.
 
-    :returns: seconds.
+    :returns: seconds since boot.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class JobApp(BaseComponent):
     """
-    One instance that schedules jobs.
+    The event loop of one instance that schedules jobs.
     """
 
     channel = "jobs"
@@ -78,17 +79,17 @@
         peers: str = "",
     ) -> None:
         """
-        Open the sockets; nothing is sent before the event loop runs.
+        Open the listening sockets; nothing is sent until the event loop runs.
 
         :param instance: id of this instance.
         :param zone: its availability zone.
-        :param bounds: times that the platform promises or asks for.
-        :param front: address for callers.
-        :param ready: address for the balancer.
-        :param metrics: address for scrapers.
+        :param bounds: time limits and rates that the platform guarantees or requires.
+        :param front: listening address for callers, as ``host:port``.
+        :param ready: listening address for readiness probes of the load balancer.
+        :param metrics: listening address for scrapers.
         :param write: writes a line of the structured log.
-        :param weakness: how little this instance can carry the owner's load, 0 to 1.
-        :param peers: address for other instances, or empty for none.
+        :param weakness: 0 when this instance can carry the owner's load, up to 1 when it can't.
+        :param peers: listening address for other instances; empty for none.
         """
         self.write = write
         self.clock = boot_clock
@@ -96,8 +97,8 @@
         incarnation = time.time_ns() // 1_000_000
         identity = Identity(instance, incarnation, zone, weakness, peers)
         self.node = new_node(identity, bounds)
-        self._pending: deque[object] = deque()
-        self._reducing = False
+        self._pending_events: deque[object] = deque()
+        self._is_reducing = False
         self._ports: Ports | None = None
         self._open_sockets(front, ready, metrics, peers)
 
@@ -110,15 +111,21 @@
         self.control_pool = make_pool(CONTROL_CONNS, channel="control").register(self)
         self.peer_pool = make_pool(PEER_CONNS, channel="peer-calls").register(self)
         limits = ServerLimits(
-            MAX_CALLER_BODY_BYTES, MAX_BUFFERED_BYTES, READ_TIMEOUT_S, MAX_CALLERS
+            MAX_CALLER_BODY_BYTES, MAX_BUFFERED_BYTES, READ_TIMEOUT_S, MAX_CALLER_CONNS
+        )
+        start_server = partial(self._start_server, scheduler, limits)
+        self.front = start_server(front, "front", self._on_call, self._on_abandoned)
+        self.ready = start_server(ready, "ready", self._on_readiness_probe, _ignore_abandoned)
+        self.scrapes = start_server(metrics, "metrics", self._on_scrape, _ignore_abandoned)
+        self.peers = (
+            start_server(peers, "peers", self._on_peer_request, _ignore_abandoned)
+            if peers
+            else None
         )
-        serve = partial(self._serve, scheduler, limits)
-        self.front = serve(front, "front", self._on_call, self._on_abandoned)
-        self.ready = serve(ready, "ready", self._on_ready_asked, _ignore)
-        self.scrapes = serve(metrics, "metrics", self._on_scrape, _ignore)
-        self.peers = serve(peers, "peers", self._on_peer, _ignore) if peers else None
 
-    def _serve(self, scheduler, limits, address, channel, on_request, on_abandoned) -> HttpServer:
+    def _start_server(
+        self, scheduler, limits, address, channel, on_request, on_abandoned
+    ) -> HttpServer:
         host, _, port = address.rpartition(":")
         server = HttpServer(
             (host, int(port)), scheduler, limits, on_request, on_abandoned, channel=channel
@@ -127,9 +134,9 @@
 
     def connect(self, ports: Ports) -> None:
         """
-        Take the functions that reach the platform.
+        Set the platform's functions, which execute effects and read requests.
 
-        :param ports: the functions.
+        :param ports: functions of the platform's adapter.
         """
         self._ports = ports
         self._effects = {
@@ -137,41 +144,45 @@
             effects.Reply: self._reply,
             effects.WriteLine: self._write_line,
             effects.Exit: self._exit,
-            effects.Forward: _peers.make_forward(self.peer_pool, self.post, INTAKE_CHANNEL),
+            effects.Forward: _peers.make_record_forwarder(
+                self.peer_pool, self.post, INTAKE_CHANNEL
+            ),
             effects.AnswerPeer: self._answer_peer,
         }
 
     def post(self, event: object) -> None:
         """
-        Reduce an event and carry out its effects, after those that are being reduced already.
+        Reduce an event and execute its effects.
+
+        An event that is posted while another one is being reduced is queued after it.
 
         :param event: one of the core's events.
         """
-        self._pending.append(event)
-        if self._reducing:
+        self._pending_events.append(event)
+        if self._is_reducing:
             return
-        self._reducing = True
+        self._is_reducing = True
         try:
-            while self._pending:
-                self._reduce(self._pending.popleft())
+            while self._pending_events:
+                self._reduce(self._pending_events.popleft())
         finally:
-            self._reducing = False
+            self._is_reducing = False
 
     def _reduce(self, event: object) -> None:
-        at = Moment(self.clock(), time.time_ns() // 1_000_000)
+        now = Moment(self.clock(), time.time_ns() // 1_000_000)
         try:
-            produced = reduce(self.node, at, event)
+            produced = reduce(self.node, now, event)
         except Exception as exc:
-            # What was decided before the fault still has to be carried out.
-            self._write_exception(exc, type(event).__name__)
+            # Effects that were produced before the exception still have to be executed.
+            self._log_exception(exc, type(event).__name__)
             produced, self.node.out = self.node.out, []
         for effect in produced:
             try:
                 self._effects[type(effect)](effect)
             except Exception as exc:
-                self._write_exception(exc, type(effect).__name__)
+                self._log_exception(exc, type(effect).__name__)
 
-    def _write_exception(self, exc: BaseException, what: str) -> None:
+    def _log_exception(self, exc: BaseException, what: str) -> None:
         lines = traceback.format_exception(exc)
         self.write(
             "instance.exception",
@@ -188,15 +199,15 @@
             return
         self.post(call)
 
-    def _on_peer(self, exchange: Exchange) -> None:
-        event = _peers.to_event(exchange)
+    def _on_peer_request(self, exchange: Exchange) -> None:
+        event = _peers.decode_records(exchange)
         if event is None:
             self.peers.answer(exchange.token, _peers.MALFORMED_STATUS, {}, b"")
             return
         self.post(event)
 
     def _answer_peer(self, effect: effects.AnswerPeer) -> None:
-        self.peers.answer(effect.token, _peers.STATUS_OF[effect.outcome], {}, b"")
+        self.peers.answer(effect.token, _peers.STATUS_BY_OUTCOME[effect.outcome], {}, b"")
 
     def _on_abandoned(self, token: int) -> None:
         self.post(events.CallAbandoned(token))
@@ -207,7 +218,7 @@
         self.front.answer(reply.token, status, headers, body)
 
     def _write_line(self, line: effects.WriteLine) -> None:
-        _metrics.take_line(self.metrics, line)
+        _metrics.count_log_line(self.metrics, line)
         self.write(line.action, **line.fields)
 
     def _exit(self, _effect: effects.Exit) -> None:
@@ -216,16 +227,16 @@
 
     def is_ready(self) -> bool:
         """
-        Tell whether callers should be forwarded here.
+        Return whether the load balancer should route callers to this instance.
 
-        :returns: whether it can take calls.
+        :returns: whether it can accept calls.
         """
         node = self.node
         age_s = self.clock() - node.tail.last_success_s
         is_loaded = node.config is not None and not node.tail.needs_snapshot
-        return is_loaded and not node.is_stopping and age_s < READY_STALE_S
+        return is_loaded and not node.is_stopping and age_s < READINESS_MAX_AGE_S
 
-    def _on_ready_asked(self, exchange: Exchange) -> None:
+    def _on_readiness_probe(self, exchange: Exchange) -> None:
         status = 200 if self.is_ready() else 503
         self.ready.answer(exchange.token, status, {}, b"")
 
@@ -251,7 +262,7 @@
 
     @handler("signal", channel="*", priority=100)
     def _on_signal(self, event, signo, _stack):
-        # The handlers of circuits would close the listening sockets and end the process.
+        # Default handlers of circuits would close the listening sockets and end the process.
         event.stop()
         if signo in (signal.SIGTERM, signal.SIGINT):
             self.front.close_after_answers()
@@ -259,18 +270,19 @@
 
     @handler("exception", channel="*")
     def _on_exception(self, _type, value, _traceback, handler=None, fevent=None):
-        self._write_exception(value, str(fevent))
+        self._log_exception(value, str(fevent))
 
 
-def _ignore(_token: int) -> None:
+def _ignore_abandoned(_token: int) -> None:
     """
-    A scraper or balancer that has gone needs nothing.
+    Ignore a scraper, load balancer or peer that closed its connection; there is no state to clean
+    up.
     """
 
 
 def run_app(app: JobApp) -> None:
     """
-    Run an instance until it is asked to stop.
+    Run an instance until it is requested to stop.
 
     :param app: the instance.
     """
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_peers.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/jobs/_peers.py
@@ -1,8 +1,8 @@
 """
-What instances say to one another: records of callers, handed to the owner of the log.
+The exchange between instances: callers' records are forwarded to the owner of the log.
 
-HTTP is used rather than messages over pynng, since the sender has to know whether any byte of a
-request may have been sent: records that certainly were not may be refused to their caller.
+It uses HTTP instead of messages over pynng because the sender has to know whether any byte of a
+request may have been sent: records that were certainly not sent may be refused to their callers.
 """
 
 from collections.abc import Callable
@@ -17,8 +17,8 @@
 from .._server_state import Exchange
 
 RECORDS_PATH = "/records"
-STATUS_OF = {events.OK: 200, events.REFUSED: 409, events.UNKNOWN: 504}
-OUTCOME_OF = {status: outcome for outcome, status in STATUS_OF.items()}
+STATUS_BY_OUTCOME = {events.OK: 200, events.REFUSED: 409, events.UNKNOWN: 504}
+OUTCOME_BY_STATUS = {status: outcome for outcome, status in STATUS_BY_OUTCOME.items()}
 MALFORMED_STATUS = 400
 
 
@@ -31,21 +31,21 @@
 _decoder = msgspec.msgpack.Decoder(_Records)
 
 
-def make_forward(
+def make_record_forwarder(
     pool: HttpPool, post: Callable[[object], None], channel: str
 ) -> Callable[[effects.Forward], None]:
     """
-    Give the function that sends records of callers to the owner.
+    Build the function that forwards callers' records to the owner.
 
-    :param pool: sends the requests.
-    :param post: takes the outcome, as an append of the channel.
-    :param channel: whose records they are.
-    :returns: the function.
+    :param pool: connections to the owner.
+    :param post: receives the outcome as an `Appended` event.
+    :param channel: channel of that event.
+    :returns: a function that executes the effect `Forward`.
     """
 
     def forward(effect: effects.Forward) -> None:
         def on_done(outcome: HttpOutcome) -> None:
-            post(events.Appended(channel, effect.seq, *forward_outcome(outcome)))
+            post(events.Appended(channel, effect.seq, *to_append_outcome(outcome)))
 
         body = _encoder.encode(_Records(effect.epoch, effect.records))
         pool.submit(
@@ -57,25 +57,27 @@
     return forward
 
 
-def forward_outcome(outcome: HttpOutcome) -> tuple[str, str]:
+def to_append_outcome(outcome: HttpOutcome) -> tuple[str, str]:
     """
-    Say what became of forwarded records.
+    Translate the outcome of a forwarding request to the outcome of an append.
 
-    :param outcome: the owner's answer, or why there is none.
+    Without a response the outcome is `REFUSED` if no byte can have been sent, otherwise `UNKNOWN`.
+
+    :param outcome: the owner's response, or the reason why there is none.
     :returns: one of the outcomes of `events`, and its detail.
     """
     if isinstance(outcome, HttpFailure):
         return (events.UNKNOWN if outcome.sent else events.REFUSED), outcome.reason
     if outcome.status == MALFORMED_STATUS:
         return events.REFUSED, str(outcome.status)
-    return OUTCOME_OF.get(outcome.status, events.UNKNOWN), str(outcome.status)
+    return OUTCOME_BY_STATUS.get(outcome.status, events.UNKNOWN), str(outcome.status)
 
 
-def to_event(exchange: Exchange) -> Any:
+def decode_records(exchange: Exchange) -> Any:
     """
-    Read records that another instance sends.
+    Decode a request in which another instance forwards records.
 
-    :param exchange: its request.
+    :param exchange: the request.
     :returns: the event, or ``None`` when the request is malformed.
     """
     if exchange.req.method != "POST" or exchange.req.path != RECORDS_PATH:
