--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_config.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_config.py
@@ -33,7 +33,7 @@
     document: dict[str, Any] | None = None
 
 
-class InForce(msgspec.Struct):
+class DocumentInForce(msgspec.Struct):
     """
     The document in force and what went before it.
     """
@@ -64,11 +64,13 @@
     """
     documents = load_documents(files)
     rows = [(name, "valid") for name in documents]
-    print_rows(settings, [{"name": name, "valid": True} for name in documents], _VALID, rows)
+    print_rows(
+        settings, [{"name": name, "valid": True} for name in documents], _VALIDATION_COLUMNS, rows
+    )
     return ExitCode.OK
 
 
-_VALID = ("document", "result")
+_VALIDATION_COLUMNS = ("document", "result")
 
 
 def diff(files: list[Path], /, *, settings: Settings = NO_SETTINGS) -> int:
@@ -79,7 +81,7 @@
     """
     changes = []
     for name, document in load_documents(files).items():
-        current = _in_force(settings, name)
+        current = _fetch_in_force(settings, name)
         before = current.document if current else {}
         revision = current.revision if current else 0
         changes += [
@@ -147,7 +149,7 @@
     :param comment: why it is rolled back.
     """
     current = _require_in_force(settings, name)
-    document = _earlier(settings, name, current, to)
+    document = _load_revision(settings, name, current, to)
     body = document_body(name, document, settings.operator, comment or f"rollback to revision {to}")
     subject = document_subject(name)
     result = publish(settings, DOCUMENT_PUBLISHED, subject, current.revision, body)
@@ -183,9 +185,9 @@
     return publish(settings, DOCUMENT_PUBLISHED, subject, base, body, record_id)
 
 
-def _in_force(settings: Settings, name: str) -> InForce | None:
+def _fetch_in_force(settings: Settings, name: str) -> DocumentInForce | None:
     try:
-        found: InForce = get_typed(settings, f"/documents/{name}", InForce)
+        found: DocumentInForce = get_typed(settings, f"/documents/{name}", DocumentInForce)
     except CommandError as exc:
         if exc.code == ExitCode.NOT_FOUND:
             return None
@@ -193,14 +195,14 @@
     return found
 
 
-def _require_in_force(settings: Settings, name: str) -> InForce:
-    current = _in_force(settings, name)
+def _require_in_force(settings: Settings, name: str) -> DocumentInForce:
+    current = _fetch_in_force(settings, name)
     if current is None:
         raise CommandError(ExitCode.NOT_FOUND, f"no document {name!r} is in force")
     return current
 
 
-def _revisions(current: InForce) -> list[Revision]:
+def _revisions(current: DocumentInForce) -> list[Revision]:
     """
     List each revision once, the newest first.
     """
@@ -210,7 +212,9 @@
     return [found[revision] for revision in sorted(found, reverse=True)]
 
 
-def _earlier(settings: Settings, name: str, current: InForce, revision: int) -> dict[str, Any]:
+def _load_revision(
+    settings: Settings, name: str, current: DocumentInForce, revision: int
+) -> dict[str, Any]:
     """
     Find the document of a revision in the history, or else in the log.
     """
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_fleet.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_fleet.py
@@ -29,7 +29,7 @@
     """
     List the teams with their shares, limits and what they run now.
     """
-    _print_part(settings, "teams")
+    _print_status_section(settings, "teams")
     return ExitCode.OK
 
 
@@ -37,7 +37,7 @@
     """
     List the pools with their sizes and instances.
     """
-    _print_part(settings, "pools")
+    _print_status_section(settings, "pools")
     return ExitCode.OK
 
 
@@ -95,14 +95,14 @@
     return content
 
 
-def _print_part(settings: Settings, part: str) -> None:
+def _print_status_section(settings: Settings, section: str) -> None:
     """
     Print a list of the status, whose fields are the entry instance's to choose.
     """
     found = _status(settings)
-    if part not in found:
-        raise CommandError(ExitCode.NOT_FOUND, f"the entry instance tells nothing of {part}")
-    entries = found[part]
+    if section not in found:
+        raise CommandError(ExitCode.NOT_FOUND, f"the entry instance tells nothing of {section}")
+    entries = found[section]
     if not isinstance(entries, list) or not all(isinstance(entry, dict) for entry in entries):
         raise CommandError(ExitCode.UNREACHABLE, "the entry instance's status cannot be read")
     columns = list(dict.fromkeys(key for entry in entries for key in entry))
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_keys.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_keys.py
@@ -14,10 +14,10 @@
     decode_withdrawal,
 )
 
-from ._commands_config import InForce, print_results
+from ._commands_config import DocumentInForce, print_results
 from ._errors import CommandError, ExitCode, InvalidInputError
 from ._key_text import new_key
-from ._operator_client import get_typed, tell_withdrawal
+from ._operator_client import get_typed, post_withdrawal
 from ._output import print_fields, print_rows
 from ._publish import EXIT_CODES, publish
 from ._records import key_subject
@@ -73,12 +73,12 @@
     subject = key_subject(workspace, key.key_id)
     # A key id names one key for good, so the grant builds on no earlier record.
     result = publish(settings, KEY_GRANTED, subject, 0, body)
-    shown = {"key": key.text} if result.state != "rejected" else {}
+    key_field = {"key": key.text} if result.state != "rejected" else {}
     if settings.output == "json":
-        print_fields(settings, {**result._asdict(), **shown})
+        print_fields(settings, {**result._asdict(), **key_field})
     else:
         print_results(settings, [result])
-        for text in shown.values():
+        for text in key_field.values():
             print(f"key: {text}")
     return EXIT_CODES[result.state]
 
@@ -111,17 +111,17 @@
 def _withdraw_at_instance(
     settings: Settings, workspace: str, key_id: str, exc: CommandError | None
 ) -> int:
-    spread = tell_withdrawal(settings, workspace, key_id)
-    if spread is None:
+    progress = post_withdrawal(settings, workspace, key_id)
+    if progress is None:
         if exc is not None:
             raise exc
         raise CommandError(
             ExitCode.UNKNOWN, "the outcome is unknown, and no entry instance took it"
         )
-    fields = {"state": "withdrawn_ahead_of_log", **msgspec.structs.asdict(spread)}
+    fields = {"state": "withdrawn_ahead_of_log", **msgspec.structs.asdict(progress)}
     print_fields(settings, fields)
     # Not in force everywhere yet: the operator has to see to the instances that are cut off.
-    return ExitCode.OK if spread.told >= spread.others else ExitCode.UNKNOWN
+    return ExitCode.OK if progress.told >= progress.others else ExitCode.UNKNOWN
 
 
 def list_keys(workspace: str, /, *, settings: Settings = NO_SETTINGS) -> int:
@@ -173,7 +173,9 @@
     if isinstance(decoded, list):
         raise InvalidInputError(decoded)
     try:
-        found: InForce = get_typed(settings, f"/documents/{decoded['workspace']}", InForce)
+        found: DocumentInForce = get_typed(
+            settings, f"/documents/{decoded['workspace']}", DocumentInForce
+        )
     except CommandError as exc:
         if exc.code != ExitCode.UNREACHABLE:
             raise
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_maintenance.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_maintenance.py
@@ -18,7 +18,7 @@
 from ._publish import current_base, publish
 from ._settings import NO_SETTINGS, Settings
 
-STOP_S = 300.0
+DEFAULT_STOP_S = 300.0
 
 
 class MaintenanceStatus(msgspec.Struct):
@@ -42,7 +42,7 @@
     /,
     *,
     due_only: bool = False,
-    stop_s: float = STOP_S,
+    stop_s: float = DEFAULT_STOP_S,
     settings: Settings = NO_SETTINGS,
 ) -> int:
     """
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_trace.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_trace.py
@@ -14,7 +14,7 @@
 from ._settings import NO_SETTINGS, Settings
 
 # Lines about a worker or an owner count for a job from this long before its first line.
-CONTEXT_S = 3.0
+CONTEXT_BEFORE_S = 3.0
 COLUMNS = ("seconds", "instance", "action", "details")
 # Changes of what an instance believes that bear on every job of their time.
 CONTEXT_ACTIONS = ("owner.", "store.", "config.in_force", "instance.stopping")
@@ -41,16 +41,16 @@
     :param files: logs of instances, in any order; standard input if there are none.
     """
     lines = sorted(_read_all(files), key=lambda line: line.at_s)
-    about = [line for line in lines if concerns(line, job)]
-    if not about:
+    job_lines = [line for line in lines if is_about(line, job)]
+    if not job_lines:
         raise CommandError(ExitCode.NOT_FOUND, f"no line of these logs is about job {job}")
-    chosen = with_context(lines, about, job)
-    first_s = about[0].at_s
+    selected = with_context(lines, job_lines, job)
+    first_s = job_lines[0].at_s
     rows = [
         (f"{line.at_s - first_s:+.3f}", line.instance, line.action, _details(line, job))
-        for line in chosen
+        for line in selected
     ]
-    content = [dict(line._asdict()) for line in chosen]
+    content = [dict(line._asdict()) for line in selected]
     print_rows(settings, content, COLUMNS, rows)
     return 0
 
@@ -83,7 +83,7 @@
         return None
 
 
-def concerns(line: Line, job: str) -> bool:
+def is_about(line: Line, job: str) -> bool:
     """
     Tell whether a line is about a job.
 
@@ -95,17 +95,17 @@
     return fields.get("job") == job or str(fields.get("path", "")).endswith(job)
 
 
-def with_context(lines: list[Line], about: list[Line], job: str) -> list[Line]:
+def with_context(lines: list[Line], job_lines: list[Line], job: str) -> list[Line]:
     """
     Add the lines about the job's workers, and about the owner, of its time.
 
     :param lines: all lines, in order of time.
-    :param about: the lines about the job.
+    :param job_lines: the lines about the job.
     :param job: the job's id.
     :returns: the lines to show, in order of time.
     """
-    first_s, last_s = about[0].at_s - CONTEXT_S, about[-1].at_s
-    workers = {line.fields["worker"] for line in about if "worker" in line.fields}
+    first_s, last_s = job_lines[0].at_s - CONTEXT_BEFORE_S, job_lines[-1].at_s
+    workers = {line.fields["worker"] for line in job_lines if "worker" in line.fields}
 
     def is_context(line: Line) -> bool:
         if not first_s <= line.at_s <= last_s:
@@ -114,7 +114,7 @@
             return True
         return line.action.startswith("worker.") and line.fields.get("worker") in workers
 
-    return [line for line in lines if concerns(line, job) or is_context(line)]
+    return [line for line in lines if is_about(line, job) or is_context(line)]
 
 
 def _details(line: Line, job: str) -> str:
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_http.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_http.py
@@ -94,17 +94,19 @@
     except (OSError, http.client.HTTPException) as exc:
         message = f"{url}: {exc or type(exc).__name__}"
         raise NoAnswerError(message, may_have_taken_effect=True) from exc
-    return HttpAnswer(res.status, _decoded(received), _seconds(res.getheader(RETRY_AFTER)))
+    return HttpAnswer(
+        res.status, _decode_json(received), _parse_seconds(res.getheader(RETRY_AFTER))
+    )
 
 
-def _decoded(body: bytes) -> Any:
+def _decode_json(body: bytes) -> Any:
     try:
         return msgspec.json.decode(body)
     except msgspec.DecodeError:
         return None
 
 
-def _seconds(header: str | None) -> float | None:
+def _parse_seconds(header: str | None) -> float | None:
     try:
         return float(header) if header else None
     except ValueError:
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_log_client.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_log_client.py
@@ -46,7 +46,7 @@
     head: int
 
 
-class Dropped(msgspec.Struct):
+class RetainedRange(msgspec.Struct):
     """
     What the log tells about a read below its first record.
     """
@@ -80,8 +80,8 @@
     url = f"{_records_url(log_url)}?from={start}&limit={limit}&wait=0"
     answer = call("GET", url, timeout_s=CALL_TIMEOUT_S)
     if answer.status == 410:
-        dropped = _convert(answer, Dropped)
-        return Page([], dropped.head, dropped.first)
+        retained = _convert(answer, RetainedRange)
+        return Page([], retained.head, retained.first)
     if answer.status != 200:
         raise NoAnswerError(
             f"the log answered {answer.status} to a read", may_have_taken_effect=False
@@ -120,20 +120,20 @@
     :raises CommandError: when nothing was sent.
     """
     try:
-        before = read_page(log_url, 1, limit=1).head
+        head_before = read_page(log_url, 1, limit=1).head
     except NoAnswerError as exc:
         raise CommandError(ExitCode.NOT_SENT, f"nothing was sent: {exc}") from exc
     deadline = time.monotonic() + timeout_s
     may_be_logged = False
     while True:
-        result = _try_append(log_url, record, before, may_be_logged)
+        result = _try_append(log_url, record, head_before, may_be_logged)
         may_be_logged = may_be_logged or not result.is_settled
         if result.offset is not None or time.monotonic() >= deadline:
             return result._replace(is_settled=result.offset is not None or not may_be_logged)
         time.sleep(RETRY_INTERVAL_S)
 
 
-def find(log_url: str, record_id: RecordId, start: int = 1) -> int | None:
+def find_offset(log_url: str, record_id: RecordId, start: int = 1) -> int | None:
     """
     Look for a record by its id.
 
@@ -162,19 +162,21 @@
     while True:
         page = read_page(log_url, start)
         yield from page.records
-        following = page.records[-1].offset + 1 if page.records else max(start, page.first)
-        if following > page.head or (following == start and not page.records):
+        next_start = page.records[-1].offset + 1 if page.records else max(start, page.first)
+        if next_start > page.head or (next_start == start and not page.records):
             return
-        start = following
+        start = next_start
 
 
-def _try_append(log_url: str, record: Record, before: int, may_be_logged: bool) -> AppendResult:
+def _try_append(
+    log_url: str, record: Record, head_before: int, may_be_logged: bool
+) -> AppendResult:
     """
     Make one attempt, after a look at what became of the attempts before it.
     """
     try:
         if may_be_logged:
-            offset = find(log_url, record.id, before + 1)
+            offset = find_offset(log_url, record.id, head_before + 1)
             if offset is not None:
                 return AppendResult(offset, True, "")
         return _post(log_url, record)
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_operator_client.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_operator_client.py
@@ -36,7 +36,7 @@
     overtaken_by: Any = None
 
 
-class Spread(msgspec.Struct, frozen=True):
+class WithdrawalProgress(msgspec.Struct, frozen=True):
     """
     How many of the other entry instances have a withdrawal.
     """
@@ -63,7 +63,7 @@
     for entry_url in settings.entry_url:
         url = f"{entry_url.rstrip('/')}/v1/operator{path}"
         try:
-            answer = _ask(settings, url, CALL_TIMEOUT_S + extra_s)
+            answer = _get_once(settings, url, CALL_TIMEOUT_S + extra_s)
         except NoAnswerError as exc:
             failures.append(str(exc))
             continue
@@ -79,7 +79,7 @@
     raise CommandError(ExitCode.UNREACHABLE, f"no entry instance gave an answer: {reason}")
 
 
-def _ask(settings: Settings, url: str, timeout_s: float) -> HttpAnswer:
+def _get_once(settings: Settings, url: str, timeout_s: float) -> HttpAnswer:
     headers = {"Authorization": f"Bearer {settings.operator_key}"} if settings.operator_key else {}
     return call("GET", url, timeout_s=timeout_s, headers=headers)
 
@@ -103,7 +103,7 @@
         raise CommandError(ExitCode.UNREACHABLE, message) from exc
 
 
-def tell_withdrawal(settings: Settings, workspace: str, key_id: str) -> Spread | None:
+def post_withdrawal(settings: Settings, workspace: str, key_id: str) -> WithdrawalProgress | None:
     """
     Withdraw a key at the first entry instance that takes it, which works without the log.
 
@@ -119,7 +119,7 @@
         try:
             answer = call("POST", url, timeout_s=CALL_TIMEOUT_S + LONG_POLL_S, headers=headers)
             if answer.status == STATUS_OK:
-                return msgspec.convert(answer.content, Spread)
+                return msgspec.convert(answer.content, WithdrawalProgress)
         except (NoAnswerError, msgspec.ValidationError):
             continue
     return None
@@ -137,13 +137,13 @@
     deadline = time.monotonic() + timeout_s
     while True:
         wait_s = max(0.0, min(LONG_POLL_S, deadline - time.monotonic()))
-        outcome = _ask_outcome(settings, record_id, wait_s)
+        outcome = _fetch_outcome(settings, record_id, wait_s)
         if outcome.state != "unknown" or time.monotonic() >= deadline:
             return outcome
         time.sleep(RETRY_INTERVAL_S)
 
 
-def _ask_outcome(settings: Settings, record_id: RecordId, wait_s: float) -> Outcome:
+def _fetch_outcome(settings: Settings, record_id: RecordId, wait_s: float) -> Outcome:
     """
     Ask once. Whatever keeps the answer away leaves the outcome unknown, and is its reason.
     """
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_output.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_output.py
@@ -70,11 +70,11 @@
     """
     if isinstance(error, InvalidInputError):
         for fault in error.faults:
-            print(fault_line(fault), file=sys.stderr)
+            print(format_fault(fault), file=sys.stderr)
     print(f"eelgrassdrum: {error}", file=sys.stderr)
 
 
-def fault_line(fault: Fault) -> str:
+def format_fault(fault: Fault) -> str:
     """
     Write a fault the way that compilers do, so that editors find the place.
 
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_publish.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_publish.py
@@ -15,13 +15,13 @@
 from ._http import NoAnswerError
 from ._log_client import append, read_page, read_record, scan
 from ._operator_client import Outcome, get_typed, wait_for_outcome
-from ._records import id_text, new_id
+from ._records import format_id, new_id
 from ._settings import Settings
 
-MAX_TRIES = 3
+MAX_ATTEMPTS = 3
 
 
-class Subjects(msgspec.Struct):
+class SubjectOffsets(msgspec.Struct):
     """
     Offsets of the last accepted records by subject.
     """
@@ -73,7 +73,7 @@
     if not re.fullmatch(NAME_PATTERN, settings.operator):
         message = "--operator must be set, in lower-case letters, digits and hyphens"
         raise CommandError(ExitCode.USAGE, message)
-    for _ in range(MAX_TRIES):
+    for _ in range(MAX_ATTEMPTS):
         record = Record(record_id or new_id(settings.operator), kind, subject, base, body)
         result = _publish_once(settings, record)
         # Another command of this operator was faster with a newer incarnation. The record took
@@ -119,15 +119,15 @@
     :raises CommandError: when it cannot be found out.
     """
     try:
-        found: Subjects = get_typed(settings, f"/subjects?prefix={subject}", Subjects)
+        found: SubjectOffsets = get_typed(settings, f"/subjects?prefix={subject}", SubjectOffsets)
         return found.subjects.get(subject, 0)
     except CommandError as exc:
-        if exc.code != ExitCode.UNREACHABLE or not _is_new(settings, subject):
+        if exc.code != ExitCode.UNREACHABLE or not _was_never_logged(settings, subject):
             raise
         return 0
 
 
-def _is_new(settings: Settings, subject: str) -> bool:
+def _was_never_logged(settings: Settings, subject: str) -> bool:
     """
     Tell whether a log that dropped nothing yet never held the subject.
     """
@@ -144,7 +144,7 @@
     if isinstance(overtaken_by, int) and overtaken_by:
         overtaken_by = _describe(settings, overtaken_by)
     return PublishResult(
-        id_text(record.id),
+        format_id(record.id),
         record.subject,
         outcome.state,
         outcome.offset if outcome.state == "accepted" else None,
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_records.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_records.py
@@ -32,7 +32,7 @@
     return RecordId(writer, incarnation, 1)
 
 
-def id_text(record_id: RecordId) -> str:
+def format_id(record_id: RecordId) -> str:
     """
     Write an id as commands print it.
 
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_sources.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_sources.py
@@ -57,15 +57,15 @@
     """
     source = _read(path)
     if isinstance(source, Fault):
-        return _refused(source)
+        return _failed_rendering(source)
     tree = parse_toml(source)
     if isinstance(tree, Fault):
-        return _refused(tree)
+        return _failed_rendering(tree)
     if TEMPLATE not in tree:
         return render(source)
     template = _read(path.parent / str(tree[TEMPLATE]))
     if isinstance(template, Fault):
-        return _refused(Fault(str(path), 1, TEMPLATE, template.message))
+        return _failed_rendering(Fault(str(path), 1, TEMPLATE, template.message))
     return render(template, source)
 
 
@@ -76,5 +76,5 @@
         return Fault(str(path), 1, "", f"cannot be read: {exc}")
 
 
-def _refused(fault: Fault) -> Rendering:
+def _failed_rendering(fault: Fault) -> Rendering:
     return Rendering(None, [fault], lambda path: (fault.file, fault.line))
--- a/packages/eelgrassdrum-cli/tests/test_against_daemon.py
+++ b/packages/eelgrassdrum-cli/tests/test_against_daemon.py
@@ -118,7 +118,7 @@
     assert operate(running, "status", key="egd_desk_wrong").code == ExitCode.NOT_ALLOWED
 
 
-def test_a_key_is_withdrawn_with_the_log_gone(running: Running) -> None:
+def test_a_key_is_withdrawn_while_the_log_is_unavailable(running: Running) -> None:
     """With the log gone the entry instance takes the withdrawal, and the key opens nothing."""
     operate(running, "publish", *FILES)
     granted = operate(running, "keys", "grant", "graz", "judges").json()
--- a/packages/eelgrassdrum-cli/tests/test_commands.py
+++ b/packages/eelgrassdrum-cli/tests/test_commands.py
@@ -49,8 +49,8 @@
     with tempfile.TemporaryDirectory() as folder:
         hidden = Path(folder, "fleet.toml")
         hidden.write_text(Path(FLEET).read_text().replace("shared = true", "shared = false"))
-        taken_back = command(platform, "publish", str(hidden))
-    assert taken_back.json()[0]["reason"] == "service_not_shared"
+        unshared = command(platform, "publish", str(hidden))
+    assert unshared.json()[0]["reason"] == "service_not_shared"
     assert command(platform, "diff", FLEET, GRAZ).code == ExitCode.OK
 
 
@@ -79,7 +79,7 @@
     assert len(platform.records) == 2
 
 
-def test_invalid_files_send_nothing_and_tell_every_fault(platform: Platform) -> None:
+def test_invalid_files_send_nothing_and_report_every_fault(platform: Platform) -> None:
     """One faulty file among several stops them all, with each fault on a line of its own."""
     with tempfile.TemporaryDirectory() as folder:
         broken, wrong = Path(folder, "broken.toml"), Path(folder, "wrong.toml")
--- a/packages/eelgrassdrum-cli/tests/test_maintenance.py
+++ b/packages/eelgrassdrum-cli/tests/test_maintenance.py
@@ -27,12 +27,12 @@
         assert platform.records[-1]["subject"] == "maintenance/fleet"
 
 
-def test_a_plan_is_made_from_what_an_entry_instance_tells(platform: Platform) -> None:
+def test_a_plan_is_computed_from_the_status_of_an_entry_instance(platform: Platform) -> None:
     """The plan lists each wave with its instances and margin, for a fleet that just started."""
     world = make_pool_fleet(2, GARTENSCHAU)
     entry = world.entries["entry-a0"]
-    told = msgspec.json.decode(msgspec.json.encode(view_maintenance(entry.state, "fleet")))
-    status = msgspec.convert(told, _commands_maintenance.MaintenanceStatus)
+    view = msgspec.json.decode(msgspec.json.encode(view_maintenance(entry.state, "fleet")))
+    status = msgspec.convert(view, _commands_maintenance.MaintenanceStatus)
     with mock.patch.object(_commands_maintenance, "get_typed", lambda *_: status):
         waves = command(platform, "maintenance", "plan", "fleet").json()
         shown = command(platform, "maintenance", "status", "fleet").json()
@@ -47,16 +47,16 @@
     """Status tells who began the round and what is due."""
     world = make_pool_fleet(2, GARTENSCHAU)
     order_maintenance(world, "start")
-    told = view_maintenance(world.entries["entry-a0"].state, "fleet")
-    assert told is not None
-    status = msgspec.convert({**told, "under_way": ["i1"]}, _commands_maintenance.MaintenanceStatus)
+    view = view_maintenance(world.entries["entry-a0"].state, "fleet")
+    assert view is not None
+    status = msgspec.convert({**view, "under_way": ["i1"]}, _commands_maintenance.MaintenanceStatus)
     status.due = 12
     with mock.patch.object(_commands_maintenance, "get_typed", lambda *_: status):
         shown = command(platform, "maintenance", "status", "fleet").json()
     assert (shown["state"], shown["due"], shown["under_way"]) == ("running", 12, ["i1"])
 
 
-def test_a_plan_without_room_has_no_waves() -> None:
+def test_a_plan_without_headroom_has_no_waves() -> None:
     """A budget that lets nothing stop leaves the plan empty instead of breaking it."""
     instance = WaveInstance("i1", "a", "a-r1", True)
     pool = WavePool("fleet/p", "endpoint", "b", False, 1, 1, 1, 1, (instance,))
--- a/packages/eelgrassdrum-cli/tests/test_moves.py
+++ b/packages/eelgrassdrum-cli/tests/test_moves.py
@@ -9,7 +9,7 @@
 FIXTURES = {"platform": fakes.platform}
 
 
-def test_a_move_names_instance_and_pool_and_its_rejection_is_told(platform: Platform) -> None:
+def test_a_move_names_instance_and_pool_and_its_rejection_is_reported(platform: Platform) -> None:
     """The record of a move holds what was asked, and an unknown instance ends with its reason."""
     result = command(platform, "move", "i1", "fleet/judging", "--comment", "show day")
     assert result.code == ExitCode.REJECTED
--- a/packages/eelgrassdrum-cli/tests/test_publish.py
+++ b/packages/eelgrassdrum-cli/tests/test_publish.py
@@ -18,7 +18,7 @@
 FIXTURES = {"platform": fakes.platform}
 
 
-def published(platform: Platform) -> int:
+def accepted_count(platform: Platform) -> int:
     """
     Publish the fleet, and give the number of its records that the fold accepted.
     """
@@ -50,7 +50,7 @@
     ]
     for count, fault in enumerate(faults, start=1):
         platform.faults = [fault]
-        assert published(platform) == count, fault
+        assert accepted_count(platform) == count, fault
     ids = {json.dumps(record["id"]) for record in platform.records}
     assert len(ids) == len(platform.records) == len(faults)
     assert platform.appends == len(faults) + 3
@@ -67,7 +67,7 @@
     assert rejected["overtaken_by"] == {"offset": 1, "author": "staff", "writer": "cli-rival-0"}
 
 
-def test_a_fenced_record_is_made_again_under_a_new_id(platform: Platform) -> None:
+def test_a_fenced_record_is_retried_under_a_new_id(platform: Platform) -> None:
     """A newer command of the same writer costs a second try, not a failure."""
 
     def fence(platform: Platform, records: list[Any]) -> tuple[int, Any]:
@@ -78,11 +78,11 @@
         return fakes.store(platform, records)
 
     platform.faults = [fence]
-    assert published(platform) == 1
+    assert accepted_count(platform) == 1
     assert len(platform.records) == 3
 
 
-def test_an_unknown_outcome_can_be_asked_again_and_repeated(platform: Platform) -> None:
+def test_an_unknown_outcome_can_be_queried_again_and_retried(platform: Platform) -> None:
     """An outcome that nobody knows yet gets code 4, and its id settles it later."""
     platform.is_folding = False
     result = command(platform, "publish", FLEET, timeout_s="0.3")
@@ -96,7 +96,7 @@
     assert len(fold(platform)[1].config.documents["fleet"]) == 1
 
 
-def test_a_log_that_takes_nothing_is_told_apart_from_an_unknown_outcome(
+def test_a_log_that_accepts_nothing_is_distinguished_from_an_unknown_outcome(
     platform: Platform,
 ) -> None:
     """Code 5 is given only when the record cannot have been appended."""
@@ -108,7 +108,7 @@
     assert command(platform, "publish", FLEET, timeout_s="0.1").code == ExitCode.UNKNOWN
 
 
-def test_the_next_entry_instance_is_asked_when_one_is_silent(platform: Platform) -> None:
+def test_the_next_entry_instance_is_queried_when_one_is_unreachable(platform: Platform) -> None:
     """One dead entry instance stops nothing; with all dead, a command says so."""
     # Flags of one name add up in their order, so the dead instance is the first of two.
     assert command(platform, "publish", FLEET, "--entry-url", NOWHERE).code == ExitCode.OK
