--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/__init__.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/__init__.py
@@ -1,5 +1,5 @@
 """
-The operators' command-line client.
+Command-line client for operators.
 """
 
 from ._app import main, run
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/__main__.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/__main__.py
@@ -1,5 +1,5 @@
 """
-Lets the client run as ``python -m eelgrassdrum_cli``.
+Entry point of ``python -m eelgrassdrum_cli``.
 """
 
 from . import main
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_app.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_app.py
@@ -1,5 +1,5 @@
 """
-Puts the commands together.
+Assembles the commands into the command-line application.
 """
 
 import sys
@@ -24,9 +24,9 @@
 
 def make_app() -> App:
     """
-    Build the command line.
+    Build the command-line application.
 
-    :returns: the application, with a command for each task of operators.
+    :returns: the application with all commands registered.
     """
     app = App(
         name="eelgrassdrum",
@@ -57,7 +57,7 @@
 
 def _from_environment(app: App, commands: tuple[str, ...], arguments: ArgumentCollection) -> None:
     """
-    Take settings from variables, but nothing that is particular to one command.
+    Read the common settings from environment variables, but no command's own parameters.
     """
     settings = [item for item in arguments if item.field_info.name in Settings._fields]
     _ENVIRONMENT(app, commands, ArgumentCollection(settings))  # type: ignore[no-untyped-call]
@@ -83,7 +83,7 @@
     """
     Run one command.
 
-    :param arguments: the command line without the program's name.
+    :param arguments: the command-line arguments without the program's name.
     :returns: the exit code, see `ExitCode`.
     """
     try:
@@ -100,6 +100,6 @@
 
 def main() -> None:
     """
-    Run the command of the process's arguments and exit with its code.
+    Run the command given by the process's arguments and exit with its code.
     """
     sys.exit(run(sys.argv[1:]))
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_config.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_config.py
@@ -24,7 +24,7 @@
 
 class Revision(msgspec.Struct):
     """
-    One published document in the history of its name.
+    One revision in the history of a document.
     """
 
     revision: int
@@ -35,7 +35,7 @@
 
 class DocumentInForce(msgspec.Struct):
     """
-    The document in force and what went before it.
+    The document in force and its earlier revisions.
     """
 
     revision: int
@@ -58,7 +58,7 @@
 
 def validate(files: list[Path], /, *, settings: Settings = NO_SETTINGS) -> int:
     """
-    Check documents alone and against each other, and report every fault with file and line.
+    Check documents individually and against each other; report every fault with file and line.
 
     :param files: documents, or parameters files that name their template.
     """
@@ -103,18 +103,18 @@
     settings: Settings = NO_SETTINGS,
 ) -> int:
     """
-    Publish documents one after the other, and wait until each is accepted or rejected.
+    Publish documents in order, waiting until each is accepted or rejected.
 
     :param files: documents, or parameters files that name their template.
     :param comment: why they are published; goes into the history.
     :param base: the revision that the one document builds on; the one in force by default.
-    :param repeat: the id of an earlier try whose outcome stayed unknown; counts once with it.
+    :param repeat: the id of an earlier attempt with an unknown outcome; at most one of both takes effect.
     """
     documents = load_documents(files)
     if len(documents) > 1 and (base is not None or repeat):
-        raise CommandError(ExitCode.USAGE, "--base and --repeat go with one document only")
+        raise CommandError(ExitCode.USAGE, "--base and --repeat can be used with one document only")
     if repeat and base is None:
-        raise CommandError(ExitCode.USAGE, "--repeat needs the --base of the earlier try")
+        raise CommandError(ExitCode.USAGE, "--repeat needs the --base of the earlier attempt")
     results = []
     for name, document in documents.items():
         results.append(_publish_one(settings, name, document, comment, base, repeat))
@@ -125,7 +125,7 @@
 
 def history(name: str, /, *, settings: Settings = NO_SETTINGS) -> int:
     """
-    List the revisions of a document, the newest first.
+    List the revisions of a document, newest first.
 
     :param name: a workspace, or ``fleet``.
     """
@@ -158,9 +158,9 @@
 
 def print_results(settings: Settings, results: list[PublishResult]) -> int:
     """
-    Print what became of records.
+    Print the outcomes of records.
 
-    :param settings: tells the form.
+    :param settings: selects the output format.
     :param results: one for each record.
     :returns: the exit code of the last one.
     """
@@ -204,7 +204,7 @@
 
 def _revisions(current: DocumentInForce) -> list[Revision]:
     """
-    List each revision once, the newest first.
+    Return each revision once, newest first.
     """
     found = {item.revision: item for item in current.history}
     newest = Revision(current.revision, current.author, current.comment, current.document)
@@ -216,7 +216,7 @@
     settings: Settings, name: str, current: DocumentInForce, revision: int
 ) -> dict[str, Any]:
     """
-    Find the document of a revision in the history, or else in the log.
+    Return the document of a revision from the history, or else from the log.
     """
     listed = [item for item in _revisions(current) if item.revision == revision]
     if not listed:
@@ -228,6 +228,6 @@
     except NoAnswerError as exc:
         raise CommandError(ExitCode.UNREACHABLE, str(exc)) from exc
     if entry is None:
-        raise CommandError(ExitCode.NOT_FOUND, f"the log no longer holds revision {revision}")
+        raise CommandError(ExitCode.NOT_FOUND, f"the log no longer retains revision {revision}")
     document: dict[str, Any] = entry.record["body"]["document"]
     return document
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_fleet.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_fleet.py
@@ -19,7 +19,7 @@
 
 def status(*, settings: Settings = NO_SETTINGS) -> int:
     """
-    Show what one entry instance knows of the fleet.
+    Show the state of the fleet as one entry instance sees it.
     """
     print_fields(settings, _status(settings))
     return ExitCode.OK
@@ -27,7 +27,7 @@
 
 def teams(*, settings: Settings = NO_SETTINGS) -> int:
     """
-    List the teams with their shares, limits and what they run now.
+    List the teams with their shares, limits and current usage.
     """
     _print_status_section(settings, "teams")
     return ExitCode.OK
@@ -58,7 +58,7 @@
 
 def outcome(record_id: str, /, *, settings: Settings = NO_SETTINGS) -> int:
     """
-    Ask what became of a record whose outcome stayed unknown. Sends nothing to the log.
+    Query the outcome of a record that was reported as unknown. Sends nothing to the log.
 
     :param record_id: the id that was printed, WRITER/INCARNATION/SEQUENCE.
     """
@@ -76,7 +76,7 @@
 
 def drain(instance: str, /, *, comment: str = "", settings: Settings = NO_SETTINGS) -> int:
     """
-    Ask for an instance to finish its work and leave its pool.
+    Request that an instance finishes its work and leaves its pool.
 
     :param instance: the instance's id.
     :param comment: why.
@@ -91,20 +91,20 @@
 def _status(settings: Settings) -> dict[str, Any]:
     content = get(settings, "/status")
     if not isinstance(content, dict):
-        raise CommandError(ExitCode.UNREACHABLE, "the entry instance's status cannot be read")
+        raise CommandError(ExitCode.UNREACHABLE, "the entry instance's status cannot be parsed")
     return content
 
 
 def _print_status_section(settings: Settings, section: str) -> None:
     """
-    Print a list of the status, whose fields are the entry instance's to choose.
+    Print one list of the status; its columns are the fields that the entry instance returns.
     """
     found = _status(settings)
     if section not in found:
-        raise CommandError(ExitCode.NOT_FOUND, f"the entry instance tells nothing of {section}")
+        raise CommandError(ExitCode.NOT_FOUND, f"the entry instance's status has no {section}")
     entries = found[section]
     if not isinstance(entries, list) or not all(isinstance(entry, dict) for entry in entries):
-        raise CommandError(ExitCode.UNREACHABLE, "the entry instance's status cannot be read")
+        raise CommandError(ExitCode.UNREACHABLE, "the entry instance's status cannot be parsed")
     columns = list(dict.fromkeys(key for entry in entries for key in entry))
     rows = [[entry.get(column) for column in columns] for entry in entries]
     print_rows(settings, entries, columns, rows)
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_keys.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_keys.py
@@ -54,11 +54,11 @@
     settings: Settings = NO_SETTINGS,
 ) -> int:
     """
-    Grant a new key to a team, and print the key once. Nobody can print it again.
+    Grant a new key to a team, and print it. The key cannot be printed again.
 
     :param workspace: the team's workspace.
     :param team: the team.
-    :param queue: queues that the key opens; each keyed queue of the workspace by default.
+    :param queue: queues that the key grants access to; each keyed queue of the workspace by default.
     :param key_id: the key's id, random by default.
     """
     key = new_key(key_id)
@@ -71,7 +71,7 @@
     }
     _check_grant(settings, body)
     subject = key_subject(workspace, key.key_id)
-    # A key id names one key for good, so the grant builds on no earlier record.
+    # Key ids are never reused, so a grant builds on no earlier record.
     result = publish(settings, KEY_GRANTED, subject, 0, body)
     key_field = {"key": key.text} if result.state != "rejected" else {}
     if settings.output == "json":
@@ -85,9 +85,9 @@
 
 def withdraw(workspace: str, key_id: str, /, *, settings: Settings = NO_SETTINGS) -> int:
     """
-    Withdraw a key. A withdrawn key never works again, whatever else is published.
+    Withdraw a key. A withdrawn key is never valid again, whatever else is published.
 
-    While the log is out, the entry instances withdraw the key and bring that to the log later.
+    While the log is unavailable, the entry instances withdraw the key and log that later.
 
     :param workspace: the key's workspace.
     :param key_id: the key's id.
@@ -97,7 +97,7 @@
     if isinstance(decoded, list):
         raise InvalidInputError(decoded)
     try:
-        # A withdrawal builds on nothing, so that no other change can get in its way.
+        # Without a base revision, no concurrent change can make a withdrawal stale.
         result = publish(settings, KEY_WITHDRAWN, key_subject(workspace, key_id), None, body)
     except CommandError as exc:
         if exc.code != ExitCode.NOT_SENT:
@@ -116,11 +116,11 @@
         if exc is not None:
             raise exc
         raise CommandError(
-            ExitCode.UNKNOWN, "the outcome is unknown, and no entry instance took it"
+            ExitCode.UNKNOWN, "the outcome is unknown, and no entry instance accepted it"
         )
     fields = {"state": "withdrawn_ahead_of_log", **msgspec.structs.asdict(progress)}
     print_fields(settings, fields)
-    # Not in force everywhere yet: the operator has to see to the instances that are cut off.
+    # Not in force everywhere yet: the operator has to handle the unreachable instances.
     return ExitCode.OK if progress.told >= progress.others else ExitCode.UNKNOWN
 
 
@@ -141,9 +141,9 @@
     name: str, /, *, scope: tuple[str, ...] = (ANY_WORKSPACE,), settings: Settings = NO_SETTINGS
 ) -> int:
     """
-    Make an operator's key, and print it with the entry for the fleet's document.
+    Generate an operator's key, and print it with the entry for the fleet's document.
 
-    Nothing is sent. The key works once the document with its digest is published.
+    Nothing is sent. The key is valid once the document with its digest is published.
 
     :param name: the operator's name.
     :param scope: workspaces that the operator may act on, ``*`` for each.
@@ -167,7 +167,7 @@
 
 def _check_grant(settings: Settings, body: dict[str, Any]) -> None:
     """
-    Check a grant alone, and against the document in force when an entry instance answers.
+    Check a grant, also against the document in force if an entry instance responds.
     """
     decoded = decode_grant(body)
     if isinstance(decoded, list):
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_maintenance.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_maintenance.py
@@ -23,7 +23,7 @@
 
 class MaintenanceStatus(msgspec.Struct):
     """
-    What an entry instance tells of a document's maintenance.
+    The maintenance status of a document, as reported by an entry instance.
     """
 
     round: Round
@@ -46,11 +46,11 @@
     settings: Settings = NO_SETTINGS,
 ) -> int:
     """
-    Show the waves that a round would have, without beginning one.
+    Show the waves that a round would have, without starting one.
 
     :param document: the fleet or a workspace.
-    :param due_only: take in only what is due now, instead of every instance.
-    :param stop_s: seconds that one instance is expected to be out of service.
+    :param due_only: include only the instances that are due now, instead of every instance.
+    :param stop_s: expected time that one instance is out of service, in seconds.
     """
     found = _read_status(settings, document)
     waves = preview(found.view if due_only else _all_due(found.view))
@@ -62,7 +62,7 @@
 
 def status(document: str, /, *, settings: Settings = NO_SETTINGS) -> int:
     """
-    Show a round: whether it is paused and why, what is due, overdue and under way.
+    Show a round: whether it is paused and why, and what is due, overdue and under way.
 
     :param document: the fleet or a workspace.
     """
@@ -87,7 +87,7 @@
 
 def start(document: str, /, *, reason: str = "", settings: Settings = NO_SETTINGS) -> int:
     """
-    Begin a round that reboots each instance of the document's pools once.
+    Start a round that reboots each instance of the document's pools once.
 
     :param document: the fleet or a workspace.
     :param reason: why.
@@ -97,7 +97,7 @@
 
 def pause(document: str, /, *, reason: str = "", settings: Settings = NO_SETTINGS) -> int:
     """
-    Let nothing more stop. What is out of service comes back.
+    Stop no further instances. Those out of service still return.
 
     :param document: the fleet or a workspace.
     :param reason: why.
@@ -107,7 +107,7 @@
 
 def resume(document: str, /, *, reason: str = "", settings: Settings = NO_SETTINGS) -> int:
     """
-    Go on after a pause, accepting the failures that are there now.
+    Continue after a pause, accepting the present failures.
 
     :param document: the fleet or a workspace.
     :param reason: why.
@@ -117,7 +117,7 @@
 
 def abort(document: str, /, *, reason: str = "", settings: Settings = NO_SETTINGS) -> int:
     """
-    End a round early. Draining instances are called back.
+    End a round early. Drains in progress are canceled.
 
     :param document: the fleet or a workspace.
     :param reason: why.
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_moves.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_moves.py
@@ -13,10 +13,10 @@
     instance: str, pool: str, /, *, comment: str = "", settings: Settings = NO_SETTINGS
 ) -> int:
     """
-    Ask for an instance to move to a pool. The controller starts it once the budget allows it.
+    Request that an instance moves to a pool. The controller starts it once the budget allows.
 
     :param instance: the instance's id.
-    :param pool: WORKSPACE/POOL; the pool that it is in takes an earlier wish back.
+    :param pool: WORKSPACE/POOL; its current pool cancels an earlier request.
     :param comment: why.
     """
     subject = move_subject(instance)
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_trace.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_trace.py
@@ -1,5 +1,5 @@
 """
-Shows from the logs of several instances what became of one job.
+Traces one job through the logs of several instances.
 """
 
 import sys
@@ -13,10 +13,10 @@
 from ._output import print_rows
 from ._settings import NO_SETTINGS, Settings
 
-# Lines about a worker or an owner count for a job from this long before its first line.
+# Context lines are included from this long before the job's first line.
 CONTEXT_BEFORE_S = 3.0
 COLUMNS = ("seconds", "instance", "action", "details")
-# Changes of what an instance believes that bear on every job of their time.
+# Changes of an instance's state that affect every job at that time.
 CONTEXT_ACTIONS = ("owner.", "store.", "config.in_force", "instance.stopping")
 
 
@@ -35,7 +35,7 @@
 
 def trace(job: str, /, *files: Path, settings: Settings = NO_SETTINGS) -> int:
     """
-    Show every decision about a job, with what its workers and the owner of the log went through.
+    Show every decision about a job, with events of its workers and of the owner of the log.
 
     :param job: the job's id.
     :param files: logs of instances, in any order; standard input if there are none.
@@ -66,10 +66,10 @@
 
 def parse_line(row: str) -> Line | None:
     """
-    Read a line of a log, whatever a collector has put before it.
+    Parse a line of a log, skipping any prefix added by a log collector.
 
     :param row: the line.
-    :returns: the line, or ``None`` when it is none of the structured log.
+    :returns: the line, or ``None`` when it is not a line of the structured log.
     """
     start = row.find("{")
     if start < 0:
@@ -85,11 +85,11 @@
 
 def is_about(line: Line, job: str) -> bool:
     """
-    Tell whether a line is about a job.
+    Return whether a line is about a job.
 
     :param line: the line.
     :param job: the job's id.
-    :returns: whether it names it.
+    :returns: whether the line names the job.
     """
     fields = line.fields
     return fields.get("job") == job or str(fields.get("path", "")).endswith(job)
@@ -97,12 +97,12 @@
 
 def with_context(lines: list[Line], job_lines: list[Line], job: str) -> list[Line]:
     """
-    Add the lines about the job's workers, and about the owner, of its time.
+    Add the lines about the job's workers and the log's owner from the same period.
 
-    :param lines: all lines, in order of time.
+    :param lines: all lines, in chronological order.
     :param job_lines: the lines about the job.
     :param job: the job's id.
-    :returns: the lines to show, in order of time.
+    :returns: the lines to show, in chronological order.
     """
     first_s, last_s = job_lines[0].at_s - CONTEXT_BEFORE_S, job_lines[-1].at_s
     workers = {line.fields["worker"] for line in job_lines if "worker" in line.fields}
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_compare.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_compare.py
@@ -19,9 +19,9 @@
 
 def compare(before: Any, after: Any) -> list[Change]:
     """
-    List what changes from one document to another.
+    List the changes from one document to another.
 
-    Entries of lists are matched by their names, so that a new entry in the middle is one change.
+    List entries are matched by name, so that an entry inserted in the middle is a single change.
 
     :param before: the document in force, or an empty table.
     :param after: the new document.
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_errors.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_errors.py
@@ -1,5 +1,5 @@
 """
-Exit codes and the errors that lead to them.
+Exit codes and the exceptions that map to them.
 """
 
 from enum import IntEnum
@@ -9,7 +9,7 @@
 
 class ExitCode(IntEnum):
     """
-    What the exit code of a command says. ``docs/operators/command-line.md`` explains each.
+    Exit codes of commands. ``docs/operators/command-line.md`` explains each.
     """
 
     OK = 0
@@ -26,7 +26,7 @@
 
 class CommandError(Exception):
     """
-    A command cannot go on.
+    Raised when a command cannot continue.
 
     :param code: the exit code.
     :param message: one sentence for the operator.
@@ -39,9 +39,9 @@
 
 class InvalidInputError(CommandError):
     """
-    Files or arguments are refused before anything is sent.
+    Raised when files or arguments are rejected before anything is sent.
 
-    :param faults: each fault.
+    :param faults: all faults that were found.
     """
 
     def __init__(self, faults: list[Fault]) -> None:
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_http.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_http.py
@@ -1,9 +1,9 @@
 """
-One HTTP exchange at a time, on `http.client`.
+A minimal blocking HTTP client on top of `http.client`.
 
-The client of `circuits.web` needs the event loop of its library, holds one connection in series
-and has no deadline. A command makes a few calls one after the other, each with its own timeout,
-and must know whether a failed call may have taken effect; the standard library does that in a few
+The client of `circuits.web` requires that library's event loop, uses a single connection
+sequentially and has no deadline. A command makes a few sequential calls, each with its own timeout,
+and must know whether a failed call may have taken effect; the standard library covers that in a few
 lines.
 """
 
@@ -20,7 +20,7 @@
 
 class HttpAnswer(NamedTuple):
     """
-    A whole answer; ``content`` is ``None`` when the body is not JSON.
+    A complete response; ``content`` is ``None`` when the body is not JSON.
     """
 
     status: int
@@ -30,10 +30,10 @@
 
 class NoAnswerError(Exception):
     """
-    A call brought no whole answer.
+    Raised when a call returned no complete response.
 
     :param message: what went wrong.
-    :param may_have_taken_effect: false when nothing can have reached the server.
+    :param may_have_taken_effect: false when the request cannot have reached the server.
     """
 
     def __init__(self, message: str, *, may_have_taken_effect: bool) -> None:
@@ -50,15 +50,15 @@
     headers: Mapping[str, str] | None = None,
 ) -> HttpAnswer:
     """
-    Make one HTTP call on a connection of its own.
+    Make one HTTP call on a new connection.
 
     :param method: the HTTP method.
     :param url: an ``http`` URL.
-    :param timeout_s: how long the connection may stay silent, in seconds.
-    :param content: a value to send as JSON, if any.
-    :param headers: further headers.
-    :returns: the answer.
-    :raises NoAnswerError: when there was no whole answer.
+    :param timeout_s: timeout of each socket operation, in seconds.
+    :param content: value to send as JSON, if any.
+    :param headers: additional headers.
+    :returns: the response.
+    :raises NoAnswerError: when there was no complete response.
     """
     parts = urlsplit(url)
     if parts.scheme != "http" or not parts.hostname:
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_key_text.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_key_text.py
@@ -1,5 +1,5 @@
 """
-Makes keys. The log only ever holds the digest of a key's secret.
+Generates keys. The log only ever holds the digest of a key's secret.
 """
 
 import secrets
@@ -13,7 +13,7 @@
 
 class NewKey(NamedTuple):
     """
-    A key that was just made: the text for its bearer, and the digest for the log.
+    A newly generated key: the text for its holder, and the digest for the log.
     """
 
     key_id: str
@@ -23,9 +23,9 @@
 
 def new_key(key_id: str = "") -> NewKey:
     """
-    Make a key from the operating system's random numbers.
+    Generate a key from the operating system's random number generator.
 
-    :param key_id: the id, random when left out.
+    :param key_id: the id; random when empty.
     :returns: the key.
     """
     key_id = key_id or secrets.token_hex(_KEY_ID_BYTES)
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_log_client.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_log_client.py
@@ -20,7 +20,7 @@
 
 class LoggedRecord(msgspec.Struct):
     """
-    A record and its offset.
+    A record of the log with its offset.
     """
 
     offset: int
@@ -29,7 +29,7 @@
 
 class Page(msgspec.Struct):
     """
-    A part of the stream, with the offsets of its first and newest records.
+    A range of the stream's records, with the offsets of the stream's first and newest records.
     """
 
     records: list[LoggedRecord]
@@ -39,7 +39,7 @@
 
 class AppendAnswer(msgspec.Struct):
     """
-    The offsets that an append was given.
+    The offsets assigned by an append.
     """
 
     offsets: list[int]
@@ -48,7 +48,7 @@
 
 class RetainedRange(msgspec.Struct):
     """
-    What the log tells about a read below its first record.
+    The log's response to a read below its first retained record.
     """
 
     first: int
@@ -57,7 +57,7 @@
 
 class AppendResult(NamedTuple):
     """
-    The offset of an append, or why it has none.
+    The offset of an appended record, or why there is none.
 
     ``is_settled`` is false when the record may or may not be in the log.
     """
@@ -69,13 +69,13 @@
 
 def read_page(log_url: str, start: int, limit: int = READ_LIMIT_RECORDS) -> Page:
     """
-    Read records from an offset on.
+    Read records starting at an offset.
 
     :param log_url: URL of the log service.
-    :param start: the first offset wanted.
-    :param limit: at most so many records.
-    :returns: the records; those that were dropped by retention are left out.
-    :raises NoAnswerError: when the log gives no usable answer.
+    :param start: the first offset to read.
+    :param limit: maximum number of records.
+    :returns: the records; those removed by retention are missing.
+    :raises NoAnswerError: when the log returns no usable response.
     """
     url = f"{_records_url(log_url)}?from={start}&limit={limit}&wait=0"
     answer = call("GET", url, timeout_s=CALL_TIMEOUT_S)
@@ -96,8 +96,8 @@
 
     :param log_url: URL of the log service.
     :param offset: the record's offset.
-    :returns: the record, or ``None`` when the log no longer holds it.
-    :raises NoAnswerError: when the log gives no usable answer.
+    :returns: the record, or ``None`` when the log no longer retains it.
+    :raises NoAnswerError: when the log returns no usable response.
     """
     for entry in read_page(log_url, offset, limit=1).records:
         if entry.offset == offset:
@@ -107,15 +107,15 @@
 
 def append(log_url: str, record: Record, timeout_s: float) -> AppendResult:
     """
-    Append a record, and find out what became of it when an answer is lost.
+    Append a record, and determine its outcome when a response is lost.
 
-    The log is read from where it ended before the append. Only when it holds no such record is
-    the append repeated, under the same id, so that the fold counts it once even when the first
-    one arrives late.
+    After an uncertain attempt, the log is read from the head that it had before the first one. Only
+    if the record is not found is the append retried, under the same id, so that the fold applies
+    it once even if the first attempt arrives late.
 
     :param log_url: URL of the log service.
     :param record: the record.
-    :param timeout_s: for how long to try, in seconds.
+    :param timeout_s: how long to retry, in seconds.
     :returns: the offset, or why there is none.
     :raises CommandError: when nothing was sent.
     """
@@ -135,13 +135,13 @@
 
 def find_offset(log_url: str, record_id: RecordId, start: int = 1) -> int | None:
     """
-    Look for a record by its id.
+    Find the offset of a record by its id.
 
     :param log_url: URL of the log service.
     :param record_id: the id.
-    :param start: the offset to look from.
+    :param start: the offset to search from.
     :returns: the offset of the first such record, or ``None`` when the log holds none.
-    :raises NoAnswerError: when the log gives no usable answer.
+    :raises NoAnswerError: when the log returns no usable response.
     """
     wanted = record_id._asdict()
     for entry in scan(log_url, start):
@@ -152,12 +152,12 @@
 
 def scan(log_url: str, start: int = 1) -> Iterator[LoggedRecord]:
     """
-    Read the stream up to the head that it has at the end of the reading.
+    Iterate over the stream up to the head reported by the last read.
 
     :param log_url: URL of the log service.
     :param start: the offset to read from.
-    :returns: each record that the log still holds.
-    :raises NoAnswerError: when the log gives no usable answer.
+    :returns: each record that the log still retains.
+    :raises NoAnswerError: when the log returns no usable response.
     """
     while True:
         page = read_page(log_url, start)
@@ -172,7 +172,7 @@
     log_url: str, record: Record, head_before: int, may_be_logged: bool
 ) -> AppendResult:
     """
-    Make one attempt, after a look at what became of the attempts before it.
+    Make one attempt, after checking whether an earlier uncertain attempt was committed.
     """
     try:
         if may_be_logged:
@@ -183,7 +183,7 @@
     except NoAnswerError as exc:
         return AppendResult(None, not exc.may_have_taken_effect, str(exc))
     except CommandError as exc:
-        # The refusal says nothing about an attempt before it.
+        # This refusal does not tell whether an earlier attempt was committed.
         if not may_be_logged:
             raise
         return AppendResult(None, True, str(exc))
@@ -197,7 +197,7 @@
         if len(offsets) == 1:
             return AppendResult(offsets[0], True, "")
     if answer.status == 429:
-        return AppendResult(None, True, "the log is over its cap on appends")
+        return AppendResult(None, True, "the log's limit on appends is exceeded")
     if 400 <= answer.status < 500:
         raise CommandError(ExitCode.NOT_SENT, f"the log refused the record: {answer.status}")
     return AppendResult(None, False, f"the log answered {answer.status}")
@@ -209,11 +209,11 @@
 
 def _convert(answer: HttpAnswer, kind: type[Any]) -> Any:
     """
-    Give an answer its type; one that does not fit may belong to a call that took effect.
+    Convert a response to its type; a malformed one may belong to a call that took effect.
     """
     try:
         return msgspec.convert(answer.content, kind)
     except msgspec.ValidationError as exc:
         raise NoAnswerError(
-            f"the log's answer cannot be read: {exc}", may_have_taken_effect=True
+            f"the log's response cannot be parsed: {exc}", may_have_taken_effect=True
         ) from exc
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_operator_client.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_operator_client.py
@@ -1,5 +1,5 @@
 """
-Asks entry instances, trying the next one when one does not answer.
+Queries entry instances, failing over to the next one when one does not respond.
 """
 
 import time
@@ -27,7 +27,7 @@
 
 class Outcome(msgspec.Struct, frozen=True):
     """
-    What the fold made of a record.
+    The fold's decision on a record.
     """
 
     state: Literal["accepted", "rejected", "unknown"]
@@ -38,7 +38,7 @@
 
 class WithdrawalProgress(msgspec.Struct, frozen=True):
     """
-    How many of the other entry instances have a withdrawal.
+    How many of the other entry instances have acknowledged a withdrawal.
     """
 
     instance: str
@@ -48,13 +48,13 @@
 
 def get(settings: Settings, path: str, extra_s: float = 0.0) -> Any:
     """
-    Ask the entry instances in turn until one answers.
+    Query the entry instances in order until one responds.
 
-    :param settings: where they are, and the operator's key.
+    :param settings: URLs of the entry instances, and the operator's key.
     :param path: the path below ``/v1/operator``.
-    :param extra_s: how long the instance may hold the answer back, in seconds.
-    :returns: the content of the answer.
-    :raises CommandError: when the key is refused, nothing is found or no instance answers.
+    :param extra_s: how long the instance may delay the response (long polling), in seconds.
+    :returns: the content of the response.
+    :raises CommandError: when the key is refused, nothing is found or no instance responds.
     """
     if not settings.entry_url:
         raise CommandError(ExitCode.UNREACHABLE, "no entry instance is set, see --entry-url")
@@ -70,13 +70,13 @@
         if answer.status == STATUS_OK and answer.content is not None:
             return answer.content
         _raise_if_final(answer, path)
-        # An instance that is behind may not know a new operator yet.
+        # An instance that lags behind the log may not know a new operator yet.
         is_refused = is_refused or answer.status == STATUS_UNAUTHORIZED
         failures.append(f"{url}: answered {answer.status}")
     reason = "; ".join(failures)
     if is_refused:
         raise CommandError(ExitCode.NOT_ALLOWED, f"the operator's key was refused: {reason}")
-    raise CommandError(ExitCode.UNREACHABLE, f"no entry instance gave an answer: {reason}")
+    raise CommandError(ExitCode.UNREACHABLE, f"no entry instance responded: {reason}")
 
 
 def _get_once(settings: Settings, url: str, timeout_s: float) -> HttpAnswer:
@@ -86,31 +86,31 @@
 
 def get_typed(settings: Settings, path: str, kind: type[Any], extra_s: float = 0.0) -> Any:
     """
-    Ask the entry instances, and give the answer its type.
+    Query the entry instances, and convert the response to a type.
 
-    :param settings: where they are, and the operator's key.
+    :param settings: URLs of the entry instances, and the operator's key.
     :param path: the path below ``/v1/operator``.
     :param kind: the type.
-    :param extra_s: how long the instance may hold the answer back, in seconds.
+    :param extra_s: how long the instance may delay the response (long polling), in seconds.
     :returns: a value of the type.
-    :raises CommandError: when there is no answer or it does not fit the type.
+    :raises CommandError: when there is no response or it does not match the type.
     """
     content = get(settings, path, extra_s)
     try:
         return msgspec.convert(content, kind)
     except msgspec.ValidationError as exc:
-        message = f"the entry instance's answer to {path} cannot be read: {exc}"
+        message = f"the entry instance's response to {path} cannot be parsed: {exc}"
         raise CommandError(ExitCode.UNREACHABLE, message) from exc
 
 
 def post_withdrawal(settings: Settings, workspace: str, key_id: str) -> WithdrawalProgress | None:
     """
-    Withdraw a key at the first entry instance that takes it, which works without the log.
+    Withdraw a key at the first entry instance that accepts it, which works without the log.
 
-    :param settings: where the entry instances are, and the operator's key.
+    :param settings: URLs of the entry instances, and the operator's key.
     :param workspace: the key's workspace.
     :param key_id: the key's id.
-    :returns: how far the withdrawal has come, or ``None`` when no instance took it.
+    :returns: how far the withdrawal has spread, or ``None`` when no instance accepted it.
     """
     headers = {"Authorization": f"Bearer {settings.operator_key}"} if settings.operator_key else {}
     path = f"/withdrawals/{quote(workspace, safe='')}/{quote(key_id, safe='')}"
@@ -129,10 +129,10 @@
     """
     Wait until the fold has accepted or rejected a record.
 
-    :param settings: where the entry instances are.
+    :param settings: URLs of the entry instances, and the operator's key.
     :param record_id: the record's id.
-    :param timeout_s: for how long to ask, in seconds.
-    :returns: the outcome; its state is ``unknown`` when none was learnt in time.
+    :param timeout_s: how long to poll, in seconds.
+    :returns: the outcome; its state is ``unknown`` when there was none in time.
     """
     deadline = time.monotonic() + timeout_s
     while True:
@@ -145,7 +145,7 @@
 
 def _fetch_outcome(settings: Settings, record_id: RecordId, wait_s: float) -> Outcome:
     """
-    Ask once. Whatever keeps the answer away leaves the outcome unknown, and is its reason.
+    Query once. Any failure leaves the outcome unknown and becomes its reason.
     """
     writer = quote(record_id.writer, safe="")
     path = f"/outcomes/{writer}/{record_id.incarnation}/{record_id.sequence}?wait={wait_s:.1f}"
@@ -154,14 +154,14 @@
     except CommandError as exc:
         return Outcome("unknown", reason=str(exc))
     if outcome.state == "unknown" and not outcome.reason:
-        reason = "the entry instance has not folded the record, or has forgotten it"
+        reason = "the entry instance has not applied the record yet, or no longer keeps its outcome"
         return Outcome("unknown", reason=reason)
     return outcome
 
 
 def _raise_if_final(answer: HttpAnswer, path: str) -> None:
     """
-    Raise for answers that another entry instance would give as well.
+    Raise for responses that any other entry instance would return as well.
     """
     if answer.status == STATUS_BAD_REQUEST:
         message = answer.content.get("message", "") if isinstance(answer.content, dict) else ""
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_output.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_output.py
@@ -20,10 +20,10 @@
     settings: Settings, content: Any, columns: Sequence[str], rows: Sequence[Sequence[Any]]
 ) -> None:
     """
-    Print a list of things.
+    Print a list of items as a table or as JSON.
 
-    :param settings: tells the form.
-    :param content: what is printed as JSON.
+    :param settings: selects the output format.
+    :param content: value that is printed as JSON.
     :param columns: headings of the table.
     :param rows: rows of the table.
     """
@@ -33,16 +33,16 @@
     table = Table(*columns)
     for row in rows:
         table.add_row(*(_cell(value) for value in row))
-    # A table that is piped to a file is not cut to a width.
+    # Without a terminal, rich would assume 80 columns and truncate cells.
     width = None if sys.stdout.isatty() else 200
     Console(width=width, highlight=False, markup=False).print(table)
 
 
 def print_fields(settings: Settings, content: Mapping[str, Any]) -> None:
     """
-    Print one thing, a field a line.
+    Print one item, one field per line.
 
-    :param settings: tells the form.
+    :param settings: selects the output format.
     :param content: its fields.
     """
     if settings.output == "json":
@@ -64,7 +64,7 @@
 
 def print_error(error: CommandError) -> None:
     """
-    Print an error, and each fault that it holds, to the error stream.
+    Print an error and its faults to standard error.
 
     :param error: the error.
     """
@@ -76,7 +76,7 @@
 
 def format_fault(fault: Fault) -> str:
     """
-    Write a fault the way that compilers do, so that editors find the place.
+    Format a fault like a compiler message, so that editors can jump to its location.
 
     :param fault: the fault.
     :returns: one line.
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_publish.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_publish.py
@@ -23,7 +23,7 @@
 
 class SubjectOffsets(msgspec.Struct):
     """
-    Offsets of the last accepted records by subject.
+    Offset of the last accepted record of each subject.
     """
 
     subjects: dict[str, int]
@@ -31,7 +31,7 @@
 
 class PublishResult(NamedTuple):
     """
-    What became of a record; ``overtaken_by`` tells of the record that went before it.
+    The outcome of a record; ``overtaken_by`` describes the record that was accepted before it.
     """
 
     id: str
@@ -60,13 +60,13 @@
     """
     Append a record and wait until the fold has decided on it.
 
-    :param settings: where the log and the entry instances are.
+    :param settings: URLs of the log and the entry instances, and the operator.
     :param kind: the record's kind.
-    :param subject: what it changes.
-    :param base: the subject's revision that it builds on, or ``None`` for no check.
+    :param subject: the subject that it changes.
+    :param base: the revision of the subject that it builds on, or ``None`` for no check.
     :param body: its body.
-    :param record_id: the id of an earlier try, to make it again safely.
-    :returns: what became of it.
+    :param record_id: the id of an earlier attempt, which makes a retry idempotent.
+    :returns: the outcome.
     :raises CommandError: when nothing was sent.
     """
     require(settings.log_url, "--log-url")
@@ -76,8 +76,8 @@
     for _ in range(MAX_ATTEMPTS):
         record = Record(record_id or new_id(settings.operator), kind, subject, base, body)
         result = _publish_once(settings, record)
-        # Another command of this operator was faster with a newer incarnation. The record took
-        # no effect, so a new one may take its place.
+        # Fenced: another command used the same writer with a newer incarnation. The record took
+        # no effect, so it is safe to retry under a new id.
         if result.reason != REASON_FENCED or record_id is not None:
             break
     return result
@@ -96,7 +96,7 @@
 
 def require(value: object, flag: str) -> None:
     """
-    Refuse to go on without a setting.
+    Check that a setting is present.
 
     :param value: the setting.
     :param flag: the flag that sets it.
@@ -108,15 +108,15 @@
 
 def current_base(settings: Settings, subject: str) -> int:
     """
-    Find the revision that a new record of a subject has to build on.
+    Return the revision that a new record of a subject has to build on.
 
-    Before the first entry instance is up, an untouched log settles it: a subject that it never
-    held has no revision.
+    Before the first entry instance is up, a log from which nothing was removed is sufficient: a
+    subject that it never contained has no revision.
 
-    :param settings: where the log and the entry instances are.
+    :param settings: URLs of the log and the entry instances, and the operator.
     :param subject: the subject.
     :returns: the offset of its last accepted record, 0 for none.
-    :raises CommandError: when it cannot be found out.
+    :raises CommandError: when it cannot be determined.
     """
     try:
         found: SubjectOffsets = get_typed(settings, f"/subjects?prefix={subject}", SubjectOffsets)
@@ -129,7 +129,7 @@
 
 def _was_never_logged(settings: Settings, subject: str) -> bool:
     """
-    Tell whether a log that dropped nothing yet never held the subject.
+    Return whether the log is untruncated and has never contained the subject.
     """
     try:
         if read_page(settings.log_url, 1, limit=1).first > 1:
@@ -155,7 +155,7 @@
 
 def _describe(settings: Settings, offset: int) -> dict[str, Any]:
     """
-    Tell who wrote the record at an offset, as far as the log still holds it.
+    Describe the record at an offset: its author and writer, if the log still retains it.
     """
     try:
         entry = read_record(settings.log_url, offset)
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_records.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_records.py
@@ -18,10 +18,10 @@
 
 def new_id(operator: str) -> RecordId:
     """
-    Make an id that no other command uses.
+    Create an id that no other command uses.
 
-    Instances remember each writer, so a command takes one of a few writers of its operator, and an
-    incarnation that is unique by its time and a random part.
+    Instances keep state for each writer, so a command picks one of a fixed number of writers of its
+    operator. Its incarnation is unique by a timestamp and random bits.
 
     :param operator: name of the operator.
     :returns: the id.
@@ -34,7 +34,7 @@
 
 def format_id(record_id: RecordId) -> str:
     """
-    Write an id as commands print it.
+    Format an id as commands print it.
 
     :param record_id: the id.
     :returns: ``WRITER/INCARNATION/SEQUENCE``.
@@ -44,11 +44,11 @@
 
 def parse_id(text: str) -> RecordId:
     """
-    Read an id as commands print it.
+    Parse an id as commands print it.
 
     :param text: ``WRITER/INCARNATION/SEQUENCE``.
     :returns: the id.
-    :raises CommandError: when the text is no id.
+    :raises CommandError: when the text is not an id.
     """
     parts = text.split("/")
     if len(parts) != 3 or not parts[0] or not (parts[1].isdecimal() and parts[2].isdecimal()):
@@ -60,7 +60,7 @@
 
 def document_subject(name: str) -> str:
     """
-    Name the subject of a document.
+    Return the subject of a document.
 
     :param name: a workspace, or ``fleet``.
     :returns: the subject.
@@ -70,7 +70,7 @@
 
 def key_subject(workspace: str, key_id: str) -> str:
     """
-    Name the subject of a key.
+    Return the subject of a key.
 
     :param workspace: the key's workspace.
     :param key_id: the key's id.
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_refusal_advice.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_refusal_advice.py
@@ -1,5 +1,5 @@
 """
-What to do about each refusal that a caller can be told.
+Advice on each refusal that a caller can receive.
 """
 
 from typing import NamedTuple
@@ -7,32 +7,32 @@
 from eelgrassdrum_core import refusals
 
 ADVICE = {
-    "not_ready": "Repeat it. If it lasts, see the instance's status and whether the log is up.",
-    "stopping": "Repeat it; the balancer will choose another instance.",
+    "not_ready": "Retry. If it persists, see the instance's status and whether the log is up.",
+    "stopping": "Retry; the balancer will choose another instance.",
     "unknown_queue": "Check the workspace and the queue against the document in force.",
     "key_required": "Send the team's key in X-Key, or use a queue that is open to all.",
     "key_refused": "Check the key with `keys list`; grant a new one if it was withdrawn.",
-    "key_unverified": "Repeat it elsewhere; the team's grace_s says how long keys go on there.",
-    "key_forbidden": "Grant a key for this queue; the one that came is for others.",
-    "bad_request": "Mend the request; the message says what is wrong with it.",
+    "key_unverified": "Retry at another instance; the team's grace_s limits how long keys stay valid without proof.",
+    "key_forbidden": "Grant a key for this queue; the one that was sent is for other queues.",
+    "bad_request": "Correct the request; the message says what is wrong with it.",
     "body_too_large": "Send less, or raise the queue's max_bytes.",
-    "queue_full": "Repeat it after retry_after_s; if it lasts, look at the pool of the service.",
-    "overloaded": "Repeat it after retry_after_s; large bodies of others fill the instance.",
-    "wait_too_long": "Repeat it after retry_after_s, or raise the queue's max_wait_s.",
-    "limit_reached": "Repeat it after retry_after_s, or raise the team's limit.",
-    "no_endpoint": "Repeat it; if it lasts, look at the pool of the service.",
-    "outcome_unknown": "Repeat it under the same request id, which runs it no second time.",
-    "run_timeout": "It may still be running. Ask `explain` with its id before a repeat.",
-    "retries_spent": "Repeat it after retry_after_s; look for endpoints that cannot be reached.",
-    "request_conflict": "Use a request id of your own for each request.",
-    "held_elsewhere": "Repeat it after retry_after_s; the instance named holds the outcome.",
-    "unresolved": "Repeat it under the same request id, or an id that names a zone in touch.",
+    "queue_full": "Retry after retry_after_s; if it persists, look at the pool of the service.",
+    "overloaded": "Retry after retry_after_s; the instance's memory for bodies is exhausted.",
+    "wait_too_long": "Retry after retry_after_s, or raise the queue's max_wait_s.",
+    "limit_reached": "Retry after retry_after_s, or raise the team's limit.",
+    "no_endpoint": "Retry; if it persists, look at the pool of the service.",
+    "outcome_unknown": "Retry with the same request id, which does not run it a second time.",
+    "run_timeout": "It may still be running. Run `explain` with its id before a retry.",
+    "retries_spent": "Retry after retry_after_s; look for endpoints that cannot be reached.",
+    "request_conflict": "Use a separate request id for each request.",
+    "held_elsewhere": "Retry after retry_after_s; the instance named holds the outcome.",
+    "unresolved": "Retry with the same request id, or with an id that names a reachable zone.",
 }
 
 
 class RefusalHelp(NamedTuple):
     """
-    A refusal explained.
+    The explanation of a refusal.
     """
 
     code: str
@@ -46,8 +46,8 @@
     """
     Explain a refusal by its code.
 
-    :param name: the code, as in the ``error`` field of an answer.
-    :returns: the explanation, or ``None`` when it is no code.
+    :param name: the code, as in the ``error`` field of a response.
+    :returns: the explanation, or ``None`` when the code is unknown.
     """
     for code in refusals.ALL_CODES:
         if code.name == name:
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_settings.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_settings.py
@@ -1,5 +1,5 @@
 """
-Settings that each command takes from flags or ``EELGRASSDRUM_*`` variables.
+Settings that each command reads from flags or ``EELGRASSDRUM_*`` environment variables.
 """
 
 from typing import Literal, NamedTuple
@@ -13,15 +13,15 @@
 @Parameter(name="*")
 class Settings(NamedTuple):
     """
-    Where the platform and the entry instances are, and who is asking.
+    URLs of the platform and the entry instances, and the operator's identity.
 
-    Each flag has a variable of its name, such as ``EELGRASSDRUM_LOG_URL`` for ``--log-url``.
+    Each flag has an environment variable of the same name, such as ``EELGRASSDRUM_LOG_URL`` for ``--log-url``.
 
     :param log_url: URL of the platform's log service.
     :param entry_url: URLs of entry instances, tried in this order; the variable takes them
-        separated by blanks.
+        separated by spaces.
     :param operator: name of the operator, which goes into records.
-    :param operator_key: key of the operator; better set by the variable than by the flag.
+    :param operator_key: key of the operator; preferably set by the variable.
     :param timeout_s: how long a command waits for an outcome, in seconds.
     :param output: how results are printed.
     """
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_sources.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_sources.py
@@ -22,7 +22,7 @@
 
 def load_documents(paths: Sequence[Path]) -> dict[str, Document]:
     """
-    Render each file and check the documents against each other.
+    Render each file and cross-check the documents.
 
     :param paths: documents, or parameters files that name their template.
     :returns: the documents by name, in the order of the files.
@@ -38,7 +38,9 @@
             continue
         name = document["name"]
         if name in documents:
-            faults.append(Fault(file, 1, "name", f"another file is the document {name!r} too"))
+            faults.append(
+                Fault(file, 1, "name", f"another file also defines the document {name!r}")
+            )
         documents.setdefault(name, document)
         sources.setdefault(name, rendering)
     for name, path, message in check_across(documents):
--- a/packages/eelgrassdrum-cli/tests/test_against_daemon.py
+++ b/packages/eelgrassdrum-cli/tests/test_against_daemon.py
@@ -1,5 +1,5 @@
 """
-The client against a running entry instance and the log's stand-in.
+Tests of the client against a running entry instance and a fake log.
 """
 
 import os
@@ -27,7 +27,7 @@
 
 class Running(NamedTuple):
     """
-    An entry instance, the log's URL, the key of an operator of the whole fleet, and the log.
+    An entry instance, the log's URL, a key of a fleet-wide operator, and the log's process.
     """
 
     daemon: Process
@@ -68,12 +68,12 @@
 
 
 def test_published_documents_and_granted_keys_are_in_force(running: Running) -> None:
-    """A key opens its queue once the command has ended, until it is withdrawn."""
+    """A key is valid for its queue once the command has returned, until it is withdrawn."""
     published = operate(running, "publish", *FILES)
     assert [item["state"] for item in published.json()] == ["accepted"] * 3
     assert operate(running, "diff", *FILES).code == ExitCode.OK
     granted = operate(running, "keys", "grant", "graz", "judges").json()
-    # No endpoint is listed, so a key that is taken leads to this refusal.
+    # There are no endpoints, so a request with a valid key gets this refusal.
     assert refusal(running, granted["key"]) == "no_endpoint"
     key_id = granted["key"].split("_")[1]
     assert operate(running, "keys", "withdraw", "graz", key_id).code == ExitCode.OK
@@ -83,7 +83,7 @@
 
 
 def test_one_of_several_racing_operators_wins(running: Running) -> None:
-    """Of records on the same base one is accepted; the others are told who won."""
+    """Of several records on the same base one is accepted; the others are rejected."""
     arguments = ("publish", FILES[0], "--base", "0")
     settings = {
         "EELGRASSDRUM_LOG_URL": running.log_url,
@@ -119,7 +119,7 @@
 
 
 def test_a_key_is_withdrawn_while_the_log_is_unavailable(running: Running) -> None:
-    """With the log gone the entry instance takes the withdrawal, and the key opens nothing."""
+    """Without the log the entry instance accepts the withdrawal, and the key is refused."""
     operate(running, "publish", *FILES)
     granted = operate(running, "keys", "grant", "graz", "judges").json()
     assert refusal(running, granted["key"]) == "no_endpoint"
--- a/packages/eelgrassdrum-cli/tests/test_commands.py
+++ b/packages/eelgrassdrum-cli/tests/test_commands.py
@@ -1,5 +1,5 @@
 """
-Commands on history, keys and files.
+Tests of the commands on history, keys and files.
 """
 
 import contextlib
@@ -42,7 +42,7 @@
 
 
 def test_the_fold_refuses_services_that_the_fleet_does_not_share(platform: Platform) -> None:
-    """A workspace needs the fleet first, and the fleet keeps what workspaces use."""
+    """Workspaces need the fleet's document first, which must keep sharing the services in use."""
     alone = command(platform, "publish", GRAZ)
     assert (alone.code, alone.json()[0]["reason"]) == (ExitCode.REJECTED, "service_not_shared")
     assert command(platform, "publish", FLEET, GRAZ).code == ExitCode.OK
@@ -80,7 +80,7 @@
 
 
 def test_invalid_files_send_nothing_and_report_every_fault(platform: Platform) -> None:
-    """One faulty file among several stops them all, with each fault on a line of its own."""
+    """One faulty file prevents publishing all of them; each fault is printed on its own line."""
     with tempfile.TemporaryDirectory() as folder:
         broken, wrong = Path(folder, "broken.toml"), Path(folder, "wrong.toml")
         broken.write_text("name = ")
@@ -97,7 +97,7 @@
 
 
 def test_the_examples_of_both_firms_are_valid() -> None:
-    """Each example renders, and fits its fleet."""
+    """Each example renders, and is consistent with its fleet's document."""
     for firm in ("gartenschau", "consortium"):
         files = sorted(str(path) for path in (EXAMPLES / firm).glob("*.toml"))
         files = [path for path in files if not path.endswith("workspace.toml")]
@@ -117,14 +117,14 @@
 
 
 def test_each_exit_code_is_documented() -> None:
-    """The page of the command line has a row for every exit code."""
+    """The command-line page of the docs has a row for every exit code."""
     page = (REPOSITORY / "docs" / "operators" / "command-line.md").read_text()
     for code in ExitCode:
         assert f"| {code.value} | " in page, code.name
 
 
 def test_misuse_of_the_command_line_has_an_exit_code_of_its_own(platform: Platform) -> None:
-    """Unknown commands, missing settings and malformed ids end with the code of misuse."""
+    """Unknown commands, missing settings and malformed ids end with the exit code for usage errors."""
     for arguments in (["nothing"], ["outcome", "x"], ["publish"]):
         assert command(platform, *arguments).code == ExitCode.USAGE, arguments
     assert command(platform, "publish", FLEET, operator="No One").code == ExitCode.USAGE
--- a/packages/eelgrassdrum-cli/tests/test_maintenance.py
+++ b/packages/eelgrassdrum-cli/tests/test_maintenance.py
@@ -1,5 +1,5 @@
 """
-Commands on maintenance rounds.
+Tests of the commands on maintenance rounds.
 """
 
 from unittest import mock
@@ -44,7 +44,7 @@
 
 
 def test_a_round_that_is_under_way_is_shown(platform: Platform) -> None:
-    """Status tells who began the round and what is due."""
+    """The status shows that the round is running, what is due and what is under way."""
     world = make_pool_fleet(2, GARTENSCHAU)
     order_maintenance(world, "start")
     view = view_maintenance(world.entries["entry-a0"].state, "fleet")
@@ -57,7 +57,7 @@
 
 
 def test_a_plan_without_headroom_has_no_waves() -> None:
-    """A budget that lets nothing stop leaves the plan empty instead of breaking it."""
+    """A budget that allows no stops gives an empty plan instead of an error."""
     instance = WaveInstance("i1", "a", "a-r1", True)
     pool = WavePool("fleet/p", "endpoint", "b", False, 1, 1, 1, 1, (instance,))
     assert _commands_maintenance.preview(WaveView((pool,), {"b": WaveBudget(0, 0)})) == []
--- a/packages/eelgrassdrum-cli/tests/test_moves.py
+++ b/packages/eelgrassdrum-cli/tests/test_moves.py
@@ -1,5 +1,5 @@
 """
-Commands on single instances.
+Tests of the commands on single instances.
 """
 
 from eelgrassdrum_cli import ExitCode
@@ -10,7 +10,7 @@
 
 
 def test_a_move_names_instance_and_pool_and_its_rejection_is_reported(platform: Platform) -> None:
-    """The record of a move holds what was asked, and an unknown instance ends with its reason."""
+    """The record of a move holds the request; for an unknown instance its rejection is printed."""
     result = command(platform, "move", "i1", "fleet/judging", "--comment", "show day")
     assert result.code == ExitCode.REJECTED
     assert "invalid_move" in result.out
--- a/packages/eelgrassdrum-cli/tests/test_publish.py
+++ b/packages/eelgrassdrum-cli/tests/test_publish.py
@@ -1,5 +1,5 @@
 """
-Publishing against a platform that loses answers, and entry instances that do not answer.
+Tests of publishing with lost responses of the log and unresponsive entry instances.
 """
 
 import json
@@ -20,14 +20,14 @@
 
 def accepted_count(platform: Platform) -> int:
     """
-    Publish the fleet, and give the number of its records that the fold accepted.
+    Publish the fleet's document, and return how many of its records the fold has accepted.
     """
     command(platform, "publish", FLEET)
     return len(fold(platform)[1].config.documents.get("fleet", []))
 
 
 def test_an_accepted_document_is_reported_with_its_revision(platform: Platform) -> None:
-    """Publishing ends with 0 and the revision once the fold has accepted the record."""
+    """Publishing exits with 0 and prints the revision once the fold has accepted the record."""
     result = command(platform, "publish", FLEET, GRAZ, "--comment", "first")
     assert result.code == ExitCode.OK
     assert [(item["state"], item["revision"]) for item in result.json()] == [
@@ -39,7 +39,7 @@
 
 
 def test_an_append_takes_effect_once_whatever_becomes_of_its_answer(platform: Platform) -> None:
-    """After each fault of the log the record is accepted once, under one id."""
+    """After each fault of the log the record is accepted exactly once, under one id."""
     faults: list[fakes.Fault] = [
         fakes.lose_answer,
         fakes.lose_request,
@@ -57,7 +57,7 @@
 
 
 def test_a_stale_record_is_rejected_with_the_one_that_overtook_it(platform: Platform) -> None:
-    """The loser of a race learns who won it, and ends with an exit code of its own."""
+    """The loser of a race is shown the winning record, and exits with a code of its own."""
     platform.faults = [fakes.overtake]
     result = command(platform, "publish", FLEET, GRAZ)
     assert result.code == ExitCode.REJECTED
@@ -68,7 +68,7 @@
 
 
 def test_a_fenced_record_is_retried_under_a_new_id(platform: Platform) -> None:
-    """A newer command of the same writer costs a second try, not a failure."""
+    """A newer command of the same writer causes a retry, not a failure."""
 
     def fence(platform: Platform, records: list[Any]) -> tuple[int, Any]:
         newer = {**records[0]["id"], "incarnation": records[0]["id"]["incarnation"] + 1}
@@ -83,7 +83,7 @@
 
 
 def test_an_unknown_outcome_can_be_queried_again_and_retried(platform: Platform) -> None:
-    """An outcome that nobody knows yet gets code 4, and its id settles it later."""
+    """An outcome that is not known yet gives code 4; querying by id resolves it later."""
     platform.is_folding = False
     result = command(platform, "publish", FLEET, timeout_s="0.3")
     assert result.code == ExitCode.UNKNOWN
@@ -99,7 +99,7 @@
 def test_a_log_that_accepts_nothing_is_distinguished_from_an_unknown_outcome(
     platform: Platform,
 ) -> None:
-    """Code 5 is given only when the record cannot have been appended."""
+    """Exit code 5 is returned only when the record cannot have been appended."""
     assert command(platform, "publish", FLEET, log_url=NOWHERE).code == ExitCode.NOT_SENT
     platform.faults = [fakes.refuse]
     assert command(platform, "publish", FLEET).code == ExitCode.NOT_SENT
@@ -109,11 +109,11 @@
 
 
 def test_the_next_entry_instance_is_queried_when_one_is_unreachable(platform: Platform) -> None:
-    """One dead entry instance stops nothing; with all dead, a command says so."""
-    # Flags of one name add up in their order, so the dead instance is the first of two.
+    """One unreachable entry instance is skipped; with all unreachable, the exit code says so."""
+    # Repeated flags accumulate in order, so the unreachable instance is the first of two.
     assert command(platform, "publish", FLEET, "--entry-url", NOWHERE).code == ExitCode.OK
     assert command(platform, "status", entry_url=NOWHERE).code == ExitCode.UNREACHABLE
     assert command(platform, "history", "fleet", operator_key="x").code == ExitCode.NOT_ALLOWED
     assert command(platform, "history", "graz").code == ExitCode.NOT_FOUND
-    # The status of this fake instance tells nothing of pools.
+    # The status of this fake instance has no pools.
     assert command(platform, "pools").code == ExitCode.NOT_FOUND
--- a/packages/eelgrassdrum-cli/tests/test_trace.py
+++ b/packages/eelgrassdrum-cli/tests/test_trace.py
@@ -1,5 +1,5 @@
 """
-What became of a job, from the logs of several instances.
+Tests of tracing a job through the logs of several instances.
 """
 
 import contextlib
@@ -13,7 +13,7 @@
 
 def line(at_s, instance, action, **fields):
     """
-    Give a line of a log.
+    Return a line of a structured log.
     """
     data = {"timestamp": at_s, "instance": instance, "message_type": action, "fields": fields}
     return json.dumps(data)
@@ -35,7 +35,7 @@
 
 def trace(job, *logs):
     """
-    Run the command on logs and give its exit code and what it printed.
+    Run the command on logs and return its exit code and output.
     """
     with tempfile.TemporaryDirectory() as folder:
         paths = []
@@ -50,7 +50,7 @@
 
 def test_the_lines_of_a_job_are_joined_in_order_of_time():
     """
-    Lines of all instances about the job, its workers and the configuration are shown in order.
+    Lines of all instances about the job, its workers and the configuration are sorted by time.
     """
     code, output = trace("j1", SECOND, FIRST)
     assert code == ExitCode.OK
@@ -65,6 +65,6 @@
 
 def test_a_job_that_no_line_names_is_not_found():
     """
-    An id that the logs don't hold gives an exit code of its own.
+    An id that is missing from the logs gives an exit code of its own.
     """
     assert trace("nothing", FIRST)[0] == ExitCode.NOT_FOUND
