--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_config.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_config.py
@@ -108,7 +108,7 @@
     :param files: documents, or parameters files that name their template.
     :param comment: why they are published; goes into the history.
     :param base: the revision that the one document builds on; the one in force by default.
-    :param repeat: the id of an earlier attempt with an unknown outcome; at most one of both takes effect.
+    :param repeat: the id of an earlier attempt with an unknown outcome; only one takes effect.
     """
     documents = load_documents(files)
     if len(documents) > 1 and (base is not None or repeat):
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_keys.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_keys.py
@@ -58,7 +58,7 @@
 
     :param workspace: the team's workspace.
     :param team: the team.
-    :param queue: queues that the key grants access to; each keyed queue of the workspace by default.
+    :param queue: queues that the key is valid for; each keyed queue of the workspace by default.
     :param key_id: the key's id, random by default.
     """
     key = new_key(key_id)
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_output.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_output.py
@@ -33,7 +33,7 @@
     table = Table(*columns)
     for row in rows:
         table.add_row(*(_cell(value) for value in row))
-    # Without a terminal, rich would assume 80 columns and truncate cells.
+    # A table that is redirected to a file or pipe is not cut to a terminal's width.
     width = None if sys.stdout.isatty() else 200
     Console(width=width, highlight=False, markup=False).print(table)
 
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_refusal_advice.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_refusal_advice.py
@@ -12,7 +12,7 @@
     "unknown_queue": "Check the workspace and the queue against the document in force.",
     "key_required": "Send the team's key in X-Key, or use a queue that is open to all.",
     "key_refused": "Check the key with `keys list`; grant a new one if it was withdrawn.",
-    "key_unverified": "Retry at another instance; the team's grace_s limits how long keys stay valid without proof.",
+    "key_unverified": "Retry elsewhere; the team's grace_s extends how long keys are accepted.",
     "key_forbidden": "Grant a key for this queue; the one that was sent is for other queues.",
     "bad_request": "Correct the request; the message says what is wrong with it.",
     "body_too_large": "Send less, or raise the queue's max_bytes.",
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_settings.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_settings.py
@@ -15,11 +15,12 @@
     """
     URLs of the platform and the entry instances, and the operator's identity.
 
-    Each flag has an environment variable of the same name, such as ``EELGRASSDRUM_LOG_URL`` for ``--log-url``.
+    Each flag has an environment variable of the same name, such as ``EELGRASSDRUM_LOG_URL`` for
+    ``--log-url``.
 
     :param log_url: URL of the platform's log service.
-    :param entry_url: URLs of entry instances, tried in this order; the variable takes them
-        separated by spaces.
+    :param entry_url: URLs of entry instances, tried in this order; separated by spaces in the
+        variable.
     :param operator: name of the operator, which goes into records.
     :param operator_key: key of the operator; preferably set by the variable.
     :param timeout_s: how long a command waits for an outcome, in seconds.
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_sources.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_sources.py
@@ -38,9 +38,7 @@
             continue
         name = document["name"]
         if name in documents:
-            faults.append(
-                Fault(file, 1, "name", f"another file also defines the document {name!r}")
-            )
+            faults.append(Fault(file, 1, "name", f"another file defines the document {name!r} too"))
         documents.setdefault(name, document)
         sources.setdefault(name, rendering)
     for name, path, message in check_across(documents):
--- a/packages/eelgrassdrum-cli/tests/test_commands.py
+++ b/packages/eelgrassdrum-cli/tests/test_commands.py
@@ -124,7 +124,7 @@
 
 
 def test_misuse_of_the_command_line_has_an_exit_code_of_its_own(platform: Platform) -> None:
-    """Unknown commands, missing settings and malformed ids end with the exit code for usage errors."""
+    """Unknown commands, missing settings and malformed ids exit with the code of usage errors."""
     for arguments in (["nothing"], ["outcome", "x"], ["publish"]):
         assert command(platform, *arguments).code == ExitCode.USAGE, arguments
     assert command(platform, "publish", FLEET, operator="No One").code == ExitCode.USAGE
