--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_refusal_advice.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_refusal_advice.py
@@ -12,12 +12,15 @@
     "unknown_queue": "Check the workspace and the queue against the document in force.",
     "key_required": "Send the team's key in X-Key, or use a queue that is open to all.",
     "key_refused": "Check the key with `keys list`; grant a new one if it was withdrawn.",
-    "key_unverified": "Retry elsewhere; the team's grace_s extends how long keys are accepted.",
+    "key_unverified": (
+        "Retry elsewhere; the team's grace_s sets how much longer an instance accepts keys "
+        "when it cannot see withdrawals."
+    ),
     "key_forbidden": "Grant a key for this queue; the one that was sent is for other queues.",
     "bad_request": "Correct the request; the message says what is wrong with it.",
     "body_too_large": "Send less, or raise the queue's max_bytes.",
     "queue_full": "Retry after retry_after_s; if it persists, look at the pool of the service.",
-    "overloaded": "Retry after retry_after_s; the instance's memory for bodies is exhausted.",
+    "overloaded": "Retry after retry_after_s; large bodies of others use up its memory.",
     "wait_too_long": "Retry after retry_after_s, or raise the queue's max_wait_s.",
     "limit_reached": "Retry after retry_after_s, or raise the team's limit.",
     "no_endpoint": "Retry; if it persists, look at the pool of the service.",
