--- a/packages/eelgrassdrum-cli/tests/test_publish.py
+++ b/packages/eelgrassdrum-cli/tests/test_publish.py
@@ -18,7 +18,7 @@
 FIXTURES = {"platform": fakes.platform}
 
 
-def accepted_count(platform: Platform) -> int:
+def publish_and_count_accepted(platform: Platform) -> int:
     """
     Publish the fleet's document, and return how many of its records the fold has accepted.
     """
@@ -50,7 +50,7 @@
     ]
     for count, fault in enumerate(faults, start=1):
         platform.faults = [fault]
-        assert accepted_count(platform) == count, fault
+        assert publish_and_count_accepted(platform) == count, fault
     ids = {json.dumps(record["id"]) for record in platform.records}
     assert len(ids) == len(platform.records) == len(faults)
     assert platform.appends == len(faults) + 3
@@ -78,7 +78,7 @@
         return fakes.store(platform, records)
 
     platform.faults = [fence]
-    assert accepted_count(platform) == 1
+    assert publish_and_count_accepted(platform) == 1
     assert len(platform.records) == 3
 
 
