--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_keys.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_keys.py
@@ -87,7 +87,8 @@
     """
     Withdraw a key. A withdrawn key is never valid again, whatever else is published.
 
-    While the log is unavailable, the entry instances withdraw the key and log that later.
+    While the log is unavailable, the entry instances withdraw the key and append the
+    withdrawal to the log later.
 
     :param workspace: the key's workspace.
     :param key_id: the key's id.
--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_moves.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_moves.py
@@ -16,7 +16,7 @@
     Request that an instance moves to a pool. The controller starts it once the budget allows.
 
     :param instance: the instance's id.
-    :param pool: WORKSPACE/POOL; its current pool cancels an earlier request.
+    :param pool: WORKSPACE/POOL; naming its current pool cancels an earlier request.
     :param comment: why.
     """
     subject = move_subject(instance)
