--- a/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_config.py
+++ b/packages/eelgrassdrum-cli/src/eelgrassdrum_cli/_commands_config.py
@@ -24,7 +24,7 @@
 
 class Revision(msgspec.Struct):
     """
-    One published document in the history of its name.
+    One revision in the history of a document.
     """
 
     revision: int
@@ -33,9 +33,9 @@
     document: dict[str, Any] | None = None
 
 
-class InForce(msgspec.Struct):
+class DocumentInForce(msgspec.Struct):
     """
-    The document in force and what went before it.
+    The document in force and its earlier revisions.
     """
 
     revision: int
@@ -58,17 +58,19 @@
 
 def validate(files: list[Path], /, *, settings: Settings = NO_SETTINGS) -> int:
     """
-    Check documents alone and against each other, and report every fault with file and line.
+    Check documents individually and against each other; report every fault with file and line.
 
     :param files: documents, or parameters files that name their template.
     """
     documents = load_documents(files)
     rows = [(name, "valid") for name in documents]
-    print_rows(settings, [{"name": name, "valid": True} for name in documents], _VALID, rows)
+    print_rows(
+        settings, [{"name": name, "valid": True} for name in documents], _VALIDATION_COLUMNS, rows
+    )
     return ExitCode.OK
 
 
-_VALID = ("document", "result")
+_VALIDATION_COLUMNS = ("document", "result")
 
 
 def diff(files: list[Path], /, *, settings: Settings = NO_SETTINGS) -> int:
@@ -79,7 +81,7 @@
     """
     changes = []
     for name, document in load_documents(files).items():
-        current = _in_force(settings, name)
+        current = _fetch_in_force(settings, name)
         before = current.document if current else {}
         revision = current.revision if current else 0
         changes += [
@@ -101,18 +103,18 @@
     settings: Settings = NO_SETTINGS,
 ) -> int:
     """
-    Publish documents one after the other, and wait until each is accepted or rejected.
+    Publish documents in order, waiting until each is accepted or rejected.
 
     :param files: documents, or parameters files that name their template.
     :param comment: why they are published; goes into the history.
     :param base: the revision that the one document builds on; the one in force by default.
-    :param repeat: the id of an earlier try whose outcome stayed unknown; counts once with it.
+    :param repeat: the id of an earlier attempt with an unknown outcome; only one takes effect.
     """
     documents = load_documents(files)
     if len(documents) > 1 and (base is not None or repeat):
-        raise CommandError(ExitCode.USAGE, "--base and --repeat go with one document only")
+        raise CommandError(ExitCode.USAGE, "--base and --repeat can be used with one document only")
     if repeat and base is None:
-        raise CommandError(ExitCode.USAGE, "--repeat needs the --base of the earlier try")
+        raise CommandError(ExitCode.USAGE, "--repeat needs the --base of the earlier attempt")
     results = []
     for name, document in documents.items():
         results.append(_publish_one(settings, name, document, comment, base, repeat))
@@ -123,7 +125,7 @@
 
 def history(name: str, /, *, settings: Settings = NO_SETTINGS) -> int:
     """
-    List the revisions of a document, the newest first.
+    List the revisions of a document, newest first.
 
     :param name: a workspace, or ``fleet``.
     """
@@ -147,7 +149,7 @@
     :param comment: why it is rolled back.
     """
     current = _require_in_force(settings, name)
-    document = _earlier(settings, name, current, to)
+    document = _load_revision(settings, name, current, to)
     body = document_body(name, document, settings.operator, comment or f"rollback to revision {to}")
     subject = document_subject(name)
     result = publish(settings, DOCUMENT_PUBLISHED, subject, current.revision, body)
@@ -156,9 +158,9 @@
 
 def print_results(settings: Settings, results: list[PublishResult]) -> int:
     """
-    Print what became of records.
+    Print the outcomes of records.
 
-    :param settings: tells the form.
+    :param settings: selects the output format.
     :param results: one for each record.
     :returns: the exit code of the last one.
     """
@@ -183,9 +185,9 @@
     return publish(settings, DOCUMENT_PUBLISHED, subject, base, body, record_id)
 
 
-def _in_force(settings: Settings, name: str) -> InForce | None:
+def _fetch_in_force(settings: Settings, name: str) -> DocumentInForce | None:
     try:
-        found: InForce = get_typed(settings, f"/documents/{name}", InForce)
+        found: DocumentInForce = get_typed(settings, f"/documents/{name}", DocumentInForce)
     except CommandError as exc:
         if exc.code == ExitCode.NOT_FOUND:
             return None
@@ -193,16 +195,16 @@
     return found
 
 
-def _require_in_force(settings: Settings, name: str) -> InForce:
-    current = _in_force(settings, name)
+def _require_in_force(settings: Settings, name: str) -> DocumentInForce:
+    current = _fetch_in_force(settings, name)
     if current is None:
         raise CommandError(ExitCode.NOT_FOUND, f"no document {name!r} is in force")
     return current
 
 
-def _revisions(current: InForce) -> list[Revision]:
+def _revisions(current: DocumentInForce) -> list[Revision]:
     """
-    List each revision once, the newest first.
+    Return each revision once, newest first.
     """
     found = {item.revision: item for item in current.history}
     newest = Revision(current.revision, current.author, current.comment, current.document)
@@ -210,9 +212,11 @@
     return [found[revision] for revision in sorted(found, reverse=True)]
 
 
-def _earlier(settings: Settings, name: str, current: InForce, revision: int) -> dict[str, Any]:
+def _load_revision(
+    settings: Settings, name: str, current: DocumentInForce, revision: int
+) -> dict[str, Any]:
     """
-    Find the document of a revision in the history, or else in the log.
+    Return the document of a revision from the history, or else from the log.
     """
     listed = [item for item in _revisions(current) if item.revision == revision]
     if not listed:
@@ -224,6 +228,6 @@
     except NoAnswerError as exc:
         raise CommandError(ExitCode.UNREACHABLE, str(exc)) from exc
     if entry is None:
-        raise CommandError(ExitCode.NOT_FOUND, f"the log no longer holds revision {revision}")
+        raise CommandError(ExitCode.NOT_FOUND, f"the log no longer retains revision {revision}")
     document: dict[str, Any] = entry.record["body"]["document"]
     return document
