--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/__init__.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/__init__.py
@@ -1,13 +1,13 @@
 """
-The entry instance, which turns sockets, timers and the log into events.
+The entry instance: turns input from sockets, timers and the log into events for the core.
 """
 
 
 def main() -> None:
     """
-    Serve until asked to stop.
+    Run the entry instance until it is asked to stop.
     """
-    # Imported late, so that the parts that other programs use load without the whole instance.
+    # Imported lazily, so that other programs can import modules without loading the instance.
     from ._main import main as serve
 
     serve()
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/__main__.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/__main__.py
@@ -1,5 +1,5 @@
 """
-Runs the entry instance: ``python -m eelgrassdrum_daemon``.
+Entry point that runs the entry instance: ``python -m eelgrassdrum_daemon``.
 """
 
 from ._main import main
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_answers.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_answers.py
@@ -1,5 +1,5 @@
 """
-Bodies of requests and answers, which the core knows only by token and attempt.
+Store of endpoint answers, which the core refers to only by attempt id.
 """
 
 from collections import OrderedDict
@@ -11,14 +11,15 @@
 
 class AnswerStore(msgspec.Struct):
     """
-    Answers of attempts, kept until they are dropped or the oldest have to go.
+    Answers by attempt id, kept until they are dropped or evicted, oldest first.
 
-    An answer stays after it was given, so that a repeat of its request can be given it too.
+    An answer is kept after delivery, so that a repeat of its request receives the same answer.
 
-    :param max_bytes: bytes of bodies kept.
-    :param max_answers: answers kept.
-    :param held_bytes: bytes of bodies held now.
-    :param evicted: answers that had to go.
+    :param max_bytes: maximum size of all stored bodies, in bytes.
+    :param max_answers: maximum number of stored answers.
+    :param held_bytes: current size of all stored bodies, in bytes.
+    :param evicted: number of answers evicted so far.
+    :param answers: stored answers by attempt id, oldest first.
     """
 
     max_bytes: int = 8 * 1024 * 1024
@@ -30,11 +31,11 @@
 
 def keep(store: AnswerStore, attempt: str, answer: HttpAnswer) -> None:
     """
-    Keep an answer; the newest is kept whatever its size.
+    Store an answer and evict the oldest over the limits; the newest is kept at any size.
 
     :param store: changed in place.
     :param attempt: id of the attempt.
-    :param answer: its answer.
+    :param answer: answer to the attempt.
     """
     drop(store, attempt)
     store.answers[attempt] = answer
@@ -51,7 +52,7 @@
 
 def drop(store: AnswerStore, attempt: str) -> None:
     """
-    Forget an answer.
+    Remove an answer, if it is stored.
 
     :param store: changed in place.
     :param attempt: id of the attempt.
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_app.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_app.py
@@ -1,5 +1,5 @@
 """
-The entry instance: tells the reducer what happens and carries out its effects.
+The entry instance: passes events to the reducer and executes the effects it returns.
 """
 
 import os
@@ -54,16 +54,16 @@
 
 class App(BaseComponent):
     """
-    One entry instance.
+    Event loop component of one entry instance: owns its sockets, timers and core state.
     """
 
     channel = "app"
 
     def init(self, settings: Settings, write: Write) -> None:
         """
-        Open the sockets; nothing is sent before the event loop runs.
+        Open the sockets and build the initial state; nothing is sent before the event loop runs.
 
-        :param settings: what the instance is told from outside.
+        :param settings: settings of the instance.
         :param write: writes a line of the structured log.
         """
         self.settings = settings
@@ -82,7 +82,9 @@
 
     def post(self, event: object) -> None:
         """
-        Reduce an event and carry out its effects, after those that are being reduced already.
+        Queue an event, then reduce it and execute its effects.
+
+        An event posted while another is being reduced is processed after it.
 
         :param event: one of the core's events.
         """
@@ -98,7 +100,7 @@
 
     def carry_out(self, effect: object) -> None:
         """
-        Carry out one effect.
+        Execute one effect.
 
         :param effect: one of the core's effects.
         """
@@ -106,9 +108,9 @@
 
     def counters(self) -> dict[str, Any]:
         """
-        Give the counters of every part.
+        Return the counters of every component.
 
-        :returns: plain data by part.
+        :returns: plain data by component name.
         """
         parts = {
             "attempts": self.attempts.counters,
@@ -131,7 +133,7 @@
             self._carry_out_safely(effect)
 
     def _carry_out_safely(self, effect: object) -> None:
-        # One effect that fails must not keep the others of its event from being carried out.
+        # A failing effect must not prevent the other effects of its event from being executed.
         try:
             self.carry_out(effect)
         except Exception as exc:
@@ -243,7 +245,7 @@
 
     @handler("signal", channel="*", priority=100)
     def _on_signal(self, event, signo, _stack):
-        # The handlers of circuits would close the listening socket and end the process.
+        # The default handlers of circuits would close the listening socket and end the process.
         event.stop()
         _shutdown.on_signal(self, signo)
 
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_caller_api.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_caller_api.py
@@ -1,5 +1,5 @@
 """
-The callers' API: from an HTTP request to an event, and from an effect to an HTTP answer.
+The callers' API: converts HTTP requests to events and builds the headers of responses.
 """
 
 import re
@@ -20,7 +20,7 @@
 REQUEST_ID_PATTERN = re.compile(r"[\x21-\x7e]{1,128}")
 MAX_TIMEOUT_MS = 3_600_000
 BEARER = "bearer"
-# Headers that speak of one connection, and those that the server writes itself.
+# Hop-by-hop headers, and headers that the server sets itself.
 DROPPED_HEADERS = frozenset(
     {
         "Connection",
@@ -37,16 +37,16 @@
 
 class BadHeaderError(Exception):
     """
-    A header of a caller's request that cannot be used.
+    Raised when a header of a caller's request is missing or invalid.
     """
 
 
 def read_request(exchange: Exchange) -> events.RequestReceived | refusals.Refusal:
     """
-    Read a caller's request.
+    Parse a caller's request.
 
-    :param exchange: the whole request.
-    :returns: the event, or a refusal of a malformed request.
+    :param exchange: the complete request.
+    :returns: the event, or a refusal if the request is malformed.
     """
     headers = exchange.req.headers
     match = PATH_PATTERN.fullmatch(exchange.req.path)
@@ -75,11 +75,11 @@
 
 def read_credential(headers: Headers) -> Credential | None:
     """
-    Read the key that came with a request.
+    Parse the key from the headers of a request.
 
     :param headers: the request's headers.
-    :returns: the credential, or ``None`` when no key came.
-    :raises BadHeaderError: when what came is no key.
+    :returns: the credential, or ``None`` if the request has no key.
+    :raises BadHeaderError: if the key is malformed or the scheme is not Bearer.
     """
     text = headers.get("X-Key")
     if text is None:
@@ -96,7 +96,7 @@
 
 def relayed_headers(answer: HttpAnswer, request_id: str, attempt: str) -> dict[str, str]:
     """
-    Give the headers of an endpoint's answer as the caller gets them.
+    Return the headers with which an endpoint's answer is forwarded to the caller.
 
     :param answer: the endpoint's answer.
     :param request_id: the caller's id of the request.
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_delivery.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_delivery.py
@@ -1,5 +1,5 @@
 """
-Answers and refusals on their way to callers, and bodies on their way to endpoints.
+Delivery of answers and refusals to callers, and of request bodies to endpoints.
 """
 
 import time
@@ -20,11 +20,11 @@
 
 class OpenRequest(NamedTuple):
     """
-    A caller's request that waits for its answer.
+    A caller's request that has not been answered yet.
 
-    :param request_id: the caller's id.
+    :param request_id: id that the caller gave the request.
     :param queue: ``WORKSPACE/QUEUE``.
-    :param body: its body.
+    :param body: body of the request.
     """
 
     request_id: str
@@ -42,8 +42,8 @@
     Send a request's body to an endpoint.
 
     :param app: the entry instance.
-    :param send: sends an attempt.
-    :param effect: what to send.
+    :param send: function that sends an attempt with its body.
+    :param effect: the attempt to send.
     """
     request = app.open_requests.get(effect.token)
     if request is None:
@@ -54,10 +54,10 @@
 
 def reply(app: "App", effect: effects.Reply) -> None:
     """
-    Give an endpoint's answer to its caller.
+    Send an endpoint's answer to the caller, or refuse the request if the answer was evicted.
 
     :param app: the entry instance.
-    :param effect: which answer goes to which caller.
+    :param effect: the attempt whose answer is sent, and the token of the request.
     """
     answer = app.answers.answers.get(effect.attempt)
     if answer is None:
@@ -86,7 +86,7 @@
     Refuse a caller's request.
 
     :param app: the entry instance.
-    :param effect: which request, and why.
+    :param effect: the token of the request, and the refusal.
     """
     request = app.open_requests.pop(effect.token, NOT_OPEN)
     refusal = effect.refusal
@@ -112,10 +112,10 @@
 
 def refuse_all(app: "App", refusal: refusals.Refusal) -> None:
     """
-    Refuse every request that waits for its answer.
+    Refuse every request that has not been answered yet.
 
     :param app: the entry instance.
-    :param refusal: why.
+    :param refusal: reason for the refusal.
     """
     for token in list(app.open_requests):
         refuse(app, effects.Refuse(token, refusal))
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_main.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_main.py
@@ -1,5 +1,5 @@
 """
-The binary `eelgrassdrumd`.
+Entry point of the `eelgrassdrumd` program.
 """
 
 import sys
@@ -11,7 +11,7 @@
 
 def main() -> None:
     """
-    Serve until asked to stop.
+    Run the entry instance until it is asked to stop.
     """
     settings = load_or_exit(sys.argv[1:])
     with open_log(settings.log_file):
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_routes.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_routes.py
@@ -24,7 +24,7 @@
 
 def handle_exchange(app: "App", exchange: Exchange) -> None:
     """
-    Hand a whole request to the part that answers it.
+    Dispatch a complete request to its handler by path.
 
     :param app: the entry instance.
     :param exchange: the request.
@@ -61,10 +61,10 @@
 
 def is_ready(app: "App") -> bool:
     """
-    Tell whether the instance may be sent callers.
+    Return whether the instance is ready for requests of callers.
 
     :param app: the entry instance.
-    :returns: whether it has a whole configuration and is not stopping.
+    :returns: whether its log is caught up and it is not stopping.
     """
     return app.state.log.caught_up and app.stop_state.requested_at_s is None
 
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_settings.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_settings.py
@@ -22,7 +22,7 @@
 
 class SettingsError(ValueError):
     """
-    One setting that cannot be used.
+    Raised when a setting is missing or invalid.
     """
 
     def __init__(self, flag: str, reason: str) -> None:
@@ -33,24 +33,25 @@
 
 class Settings(NamedTuple):
     """
-    Everything that an entry instance is told from outside.
-
-    :param instance: its id.
-    :param zone: its availability zone.
-    :param listen: ``IP:PORT`` for callers and operators.
-    :param peer_listen: ``IP:PORT`` for other entry instances.
-    :param peer_advertise: ``IP:PORT`` that others are told, when it differs from what is bound.
-    :param log_url: base of the platform's log service.
-    :param list_url: base of the platform's list of instances.
+    Validated settings of an entry instance.
+
+    :param instance: id of the instance.
+    :param zone: availability zone of the instance.
+    :param listen: ``IP:PORT`` to listen on for callers and operators.
+    :param peer_listen: ``IP:PORT`` to listen on for other entry instances.
+    :param peer_advertise: ``IP:PORT`` advertised to peers, if it differs from the bound one.
+    :param log_url: base URL of the platform's log service.
+    :param list_url: base URL of the platform's instance list.
     :param root_digest: SHA-256 of the first operator's secret, in hex.
-    :param incarnation: number that grows with each start, or 0 for the time in milliseconds.
-    :param max_body_bytes: largest body of a request.
-    :param max_buffered_bytes: bodies held in all.
-    :param read_timeout_s: seconds for a whole request to arrive.
-    :param max_callers: most open connections of callers.
-    :param list_interval_s: seconds between two reads of the list of instances.
-    :param drain_timeout_s: seconds that a graceful stop may take.
-    :param log_file: where the log's lines go, or ``-`` for standard error.
+    :param incarnation: number that increases with each start, or 0 for the time in
+        milliseconds.
+    :param max_body_bytes: maximum size of a request body, in bytes.
+    :param max_buffered_bytes: maximum size of all buffered bodies, in bytes.
+    :param read_timeout_s: timeout for receiving a complete request, in seconds.
+    :param max_callers: maximum number of open caller connections.
+    :param list_interval_s: seconds between two reads of the instance list.
+    :param drain_timeout_s: timeout of a graceful shutdown, in seconds.
+    :param log_file: file for log lines, or ``-`` for standard error.
     """
 
     instance: str
@@ -137,7 +138,7 @@
 
 def flag_of(field: str) -> str:
     """
-    Give the flag of a setting.
+    Return the command-line flag of a setting.
 
     :param field: name of a field of `Settings`.
     :returns: the flag, such as ``--log-url``.
@@ -147,11 +148,11 @@
 
 def validate(texts: dict[str, str]) -> Settings:
     """
-    Turn texts into settings.
+    Parse and validate the text of each setting.
 
-    :param texts: text of each setting given, by the field's name.
+    :param texts: text of each given setting, by field name.
     :returns: the settings.
-    :raises ExceptionGroup: of a `SettingsError` for each setting at fault.
+    :raises ExceptionGroup: with a `SettingsError` for each missing or invalid setting.
     """
     values: dict[str, Any] = {}
     faults: list[SettingsError] = []
@@ -202,11 +203,11 @@
 
 def parse_settings(arguments: Sequence[str]) -> Settings | None:
     """
-    Read the settings from flags and environment variables; flags win.
+    Read the settings from flags and environment variables; flags take precedence.
 
     :param arguments: the command line without the program's name.
-    :returns: the settings, or ``None`` when only help was asked for.
-    :raises ExceptionGroup: of a `SettingsError` for each setting at fault.
+    :returns: the settings, or ``None`` if only help was requested.
+    :raises ExceptionGroup: with a `SettingsError` for each missing or invalid setting.
     """
     app = cyclopts.App(
         name="eelgrassdrumd",
@@ -225,7 +226,7 @@
 
 def load_or_exit(arguments: Sequence[str]) -> Settings:
     """
-    Read the settings, or end the process with every fault on standard error.
+    Read the settings, or print every error to standard error and exit.
 
     :param arguments: the command line without the program's name.
     :returns: the settings.
