--- a/packages/eelgrassdrum-daemon/tests/test_app.py
+++ b/packages/eelgrassdrum-daemon/tests/test_app.py
@@ -1,5 +1,5 @@
 """
-The entry instance's loop over events and effects, without its sockets.
+Tests of event handling and effect execution in the entry instance, without its event loop.
 """
 
 from typing import NamedTuple
@@ -16,7 +16,7 @@
 
 class Made(NamedTuple):
     """
-    An entry instance that never runs, and the lines that it wrote.
+    An entry instance whose event loop is not started, and the names of its log events.
     """
 
     app: _app.App
@@ -36,7 +36,7 @@
 
 def test_failing_effect_keeps_no_other_from_being_carried_out(made: Made) -> None:
     """
-    When one effect of an event raises, the effects after it are carried out and a line is written.
+    When one effect of an event raises, the effects after it are executed and the error is logged.
     """
     produced = [effects.WriteLog("first", {}), effects.Exit(), effects.WriteLog("last", {})]
     made.app._effects[effects.Exit] = lambda _effect: 1 / 0
@@ -47,7 +47,7 @@
 
 def test_failing_dispatch_ends_its_attempt(made: Made) -> None:
     """
-    An attempt whose sending raised ends as one that may have been sent.
+    An attempt whose dispatch raises fails as one that may have been sent.
     """
     posted: list[object] = []
     made.app.post = posted.append
@@ -58,7 +58,7 @@
 
 def test_dispatch_for_a_caller_that_left_sends_nothing(made: Made) -> None:
     """
-    When the body is gone with its caller, the attempt fails as not sent.
+    When the caller has disconnected and its body was dropped, the attempt fails as not sent.
     """
     posted: list[object] = []
     made.app.post = posted.append
@@ -68,7 +68,7 @@
 
 def test_every_effect_of_the_core_can_be_carried_out(made: Made) -> None:
     """
-    The table has an entry for each effect type but `Emit`, which the reducer takes itself.
+    The table has an entry for each effect type but `Emit`, which the reducer handles itself.
     """
     known = {
         kind
--- a/packages/eelgrassdrum-daemon/tests/test_whole_path.py
+++ b/packages/eelgrassdrum-daemon/tests/test_whole_path.py
@@ -1,5 +1,5 @@
 """
-One entry instance as a process, from callers to an endpoint and back.
+End-to-end tests of one entry instance process, from callers to an endpoint and back.
 """
 
 import signal
@@ -42,7 +42,7 @@
 
 class Running(NamedTuple):
     """
-    The processes, an operator and a granted key.
+    The running processes, a writer of operator records and a granted key.
     """
 
     platform: fleet.Platform
@@ -77,7 +77,7 @@
 
 def begin(running: Running, request_id: str, work_ms: int = SLOW_WORK_MS):
     """
-    Send a request that runs for a while, without waiting for its answer.
+    Send a request that runs for `work_ms`, and return once it runs, without its answer.
     """
     conn = connect(running.daemon.address)
     headers = {"X-Request-Id": request_id, "X-Key": running.key}
@@ -96,7 +96,7 @@
 
 def test_answer_is_whole_and_the_callers_own(running: Running) -> None:
     """
-    A large body reaches the endpoint byte for byte, and its answer names the caller's request.
+    A large body reaches the endpoint unchanged, and its answer has the caller's request id.
     """
     answer = submit(running, "r-large", LARGE_BODY, Key=running.key)
     assert answer.status == 200
@@ -108,7 +108,7 @@
 
 def test_keyed_queue_takes_granted_keys_only(running: Running) -> None:
     """
-    No key, a wrong key and a withdrawn key are refused as not run, and nothing of them runs.
+    Requests with no key, a wrong key or a withdrawn key are refused as not run and do not run.
     """
     assert submit(running, "r-none").json()["error"] == "key_required"
     assert submit(running, "r-wrong", Key="egd_k1_other").json()["error"] == "key_refused"
@@ -151,7 +151,7 @@
 
 def test_caller_that_leaves_frees_its_place(running: Running) -> None:
     """
-    After a caller closed its connection, its request ends and others are served.
+    After a caller closes its connection, its request ends and other requests are served.
     """
     begin(running, "r-slow").close()
     wait_until(lambda: runs(running)["r-slow"] == "done")
