--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_answers.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_answers.py
@@ -29,7 +29,7 @@
     answers: OrderedDict[str, HttpAnswer] = msgspec.field(default_factory=OrderedDict)
 
 
-def keep(store: AnswerStore, attempt: str, answer: HttpAnswer) -> None:
+def store_answer(store: AnswerStore, attempt: str, answer: HttpAnswer) -> None:
     """
     Store an answer and evict the oldest over the limits; the newest is kept at any size.
 
@@ -37,7 +37,7 @@
     :param attempt: id of the attempt.
     :param answer: answer to the attempt.
     """
-    drop(store, attempt)
+    remove_answer(store, attempt)
     store.answers[attempt] = answer
     store.held_bytes += len(answer.body)
     while _is_over(store) and len(store.answers) > 1:
@@ -50,7 +50,7 @@
     return store.held_bytes > store.max_bytes or len(store.answers) > store.max_answers
 
 
-def drop(store: AnswerStore, attempt: str) -> None:
+def remove_answer(store: AnswerStore, attempt: str) -> None:
     """
     Remove an answer, if it is stored.
 
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_app.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_app.py
@@ -78,7 +78,7 @@
         self._reducing = False
         self._open_sockets()
         self.state = new_state(self._identity(), self._tuning())
-        self._effects = self._effect_table()
+        self._effects = self._build_effect_table()
 
     def post(self, event: object) -> None:
         """
@@ -98,7 +98,7 @@
         finally:
             self._reducing = False
 
-    def carry_out(self, effect: object) -> None:
+    def execute_effect(self, effect: object) -> None:
         """
         Execute one effect.
 
@@ -130,12 +130,12 @@
     def _reduce(self, event: object) -> None:
         self.state, produced = reduce(self.state, self.scheduler.clock(), event)
         for effect in produced:
-            self._carry_out_safely(effect)
+            self._execute_safely(effect)
 
-    def _carry_out_safely(self, effect: object) -> None:
+    def _execute_safely(self, effect: object) -> None:
         # A failing effect must not prevent the other effects of its event from being executed.
         try:
-            self.carry_out(effect)
+            self.execute_effect(effect)
         except Exception as exc:
             self._write_exception(exc)
             if isinstance(effect, effects.Dispatch):
@@ -185,10 +185,10 @@
     def _tuning(self) -> Tuning:
         return Tuning(list_interval_s=self.settings.list_interval_s)
 
-    def _effect_table(self) -> dict[type, Callable[[Any], None]]:
+    def _build_effect_table(self) -> dict[type, Callable[[Any], None]]:
         settings = self.settings
         endpoints = make_endpoint_adapter(
-            self.attempts, self.probes, self.post, partial(_answers.keep, self.answers)
+            self.attempts, self.probes, self.post, partial(_answers.store_answer, self.answers)
         )
         log_url = parse_base_url(settings.log_url)
         log = make_log_adapter(log_url, self.control, self.scheduler, self.post)
@@ -212,7 +212,7 @@
         }
 
     def _drop_answer(self, effect: effects.DropAnswer) -> None:
-        _answers.drop(self.answers, effect.attempt)
+        _answers.remove_answer(self.answers, effect.attempt)
 
     def _send_peer(self, effect: effects.SendPeer) -> None:
         data = encode_message(self.state.identity.sender, effect.message)
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_caller_api.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_caller_api.py
@@ -59,15 +59,15 @@
     try:
         return events.RequestReceived(
             token=exchange.token,
-            request_id=_request_id(headers),
+            request_id=_parse_request_id(headers),
             queue=f"{match[1]}/{match[2]}",
             credential=read_credential(headers),
-            idempotent=_flag(headers, "X-Idempotent"),
-            urgent=_flag(headers, "X-Urgent"),
-            timeout_s=_timeout_s(headers),
+            idempotent=_parse_flag(headers, "X-Idempotent"),
+            urgent=_parse_flag(headers, "X-Urgent"),
+            timeout_s=_parse_timeout_s(headers),
             size_bytes=len(exchange.body),
             body_hash=xxhash.xxh3_64_intdigest(exchange.body),
-            repeat=_flag(headers, "X-Repeat"),
+            repeat=_parse_flag(headers, "X-Repeat"),
         )
     except BadHeaderError as exc:
         return refusals.Refusal(refusals.BAD_REQUEST, detail=str(exc))
@@ -94,7 +94,7 @@
     return credential
 
 
-def relayed_headers(answer: HttpAnswer, request_id: str, attempt: str) -> dict[str, str]:
+def forwarded_headers(answer: HttpAnswer, request_id: str, attempt: str) -> dict[str, str]:
     """
     Return the headers with which an endpoint's answer is forwarded to the caller.
 
@@ -109,7 +109,7 @@
     return headers
 
 
-def _request_id(headers: Any) -> str:
+def _parse_request_id(headers: Any) -> str:
     text = headers.get(REQUEST_ID_HEADER)
     if text is None:
         raise BadHeaderError("X-Request-Id is missing")
@@ -118,14 +118,14 @@
     return text
 
 
-def _flag(headers: Any, name: str) -> bool:
+def _parse_flag(headers: Any, name: str) -> bool:
     text = headers.get(name, "0")
     if text not in ("0", "1"):
         raise BadHeaderError(f"{name} takes 0 or 1")
     return text == "1"
 
 
-def _timeout_s(headers: Any) -> float | None:
+def _parse_timeout_s(headers: Any) -> float | None:
     text = headers.get("X-Timeout-Ms")
     if text is None:
         return None
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_delivery.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_delivery.py
@@ -8,7 +8,7 @@
 
 from eelgrassdrum_core import effects, events, refusals
 
-from ._caller_api import relayed_headers
+from ._caller_api import forwarded_headers
 from ._recent import EndedRequest, remember
 from ._server_answers import refusal_body, refusal_headers
 
@@ -32,7 +32,7 @@
     body: bytes
 
 
-NOT_OPEN = OpenRequest("", "", b"")
+UNKNOWN_REQUEST = OpenRequest("", "", b"")
 
 
 def dispatch(
@@ -64,8 +64,8 @@
         refusal = refusals.Refusal(refusals.OUTCOME_UNKNOWN, detail="the answer is no longer held")
         refuse(app, effects.Refuse(effect.token, refusal))
         return
-    request = app.open_requests.pop(effect.token, NOT_OPEN)
-    headers = relayed_headers(answer, request.request_id, effect.attempt)
+    request = app.open_requests.pop(effect.token, UNKNOWN_REQUEST)
+    headers = forwarded_headers(answer, request.request_id, effect.attempt)
     app.server.answer(effect.token, answer.status, headers, answer.body)
     ended = EndedRequest(
         request.request_id,
@@ -88,7 +88,7 @@
     :param app: the entry instance.
     :param effect: the token of the request, and the refusal.
     """
-    request = app.open_requests.pop(effect.token, NOT_OPEN)
+    request = app.open_requests.pop(effect.token, UNKNOWN_REQUEST)
     refusal = effect.refusal
     app.server.answer(
         effect.token,
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_routes.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_routes.py
@@ -45,7 +45,7 @@
 def _handle_caller(app: "App", exchange: Exchange) -> None:
     event = read_request(exchange)
     if isinstance(event, refusals.Refusal):
-        app.carry_out(effects.Refuse(exchange.token, event))
+        app.execute_effect(effects.Refuse(exchange.token, event))
         return
     request = OpenRequest(event.request_id, event.queue, exchange.body)
     app.open_requests[exchange.token] = request
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_settings.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_settings.py
@@ -72,13 +72,13 @@
     log_file: str = "-"
 
 
-def _name(text: str) -> str:
+def _parse_name(text: str) -> str:
     if not NAME_PATTERN.fullmatch(text):
         raise ValueError("needs lower-case letters, digits and hyphens")
     return text
 
 
-def _address(text: str) -> str:
+def _parse_address(text: str) -> str:
     host, _, port = text.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
@@ -89,21 +89,21 @@
     return text
 
 
-def _url(text: str) -> str:
+def _parse_url(text: str) -> str:
     parts = urlsplit(text)
     if parts.scheme != "http":
         raise ValueError("needs http://IP:PORT")
-    _address(parts.netloc)
+    _parse_address(parts.netloc)
     return text.rstrip("/")
 
 
-def _digest(text: str) -> str:
+def _parse_digest(text: str) -> str:
     if text and not DIGEST_PATTERN.fullmatch(text):
         raise ValueError("needs 64 hexadecimal digits")
     return text
 
 
-def _number(kind: Callable[[str], Any], low: float, high: float) -> Callable[[str], Any]:
+def _number_parser(kind: Callable[[str], Any], low: float, high: float) -> Callable[[str], Any]:
     def parse(text: str) -> Any:
         try:
             value = kind(text)
@@ -117,21 +117,21 @@
 
 
 PARSERS: dict[str, Callable[[str], Any]] = {
-    "instance": _name,
-    "zone": _name,
-    "listen": _address,
-    "peer_listen": _address,
-    "log_url": _url,
-    "list_url": _url,
-    "peer_advertise": _address,
-    "root_digest": _digest,
-    "incarnation": _number(int, 0, 2**53),
-    "max_body_bytes": _number(int, 1, 2**30),
-    "max_buffered_bytes": _number(int, 1, 2**36),
-    "read_timeout_s": _number(float, 0.01, 3600),
-    "max_callers": _number(int, 1, 100_000),
-    "list_interval_s": _number(float, 0.05, 3600),
-    "drain_timeout_s": _number(float, 0, 3600),
+    "instance": _parse_name,
+    "zone": _parse_name,
+    "listen": _parse_address,
+    "peer_listen": _parse_address,
+    "log_url": _parse_url,
+    "list_url": _parse_url,
+    "peer_advertise": _parse_address,
+    "root_digest": _parse_digest,
+    "incarnation": _number_parser(int, 0, 2**53),
+    "max_body_bytes": _number_parser(int, 1, 2**30),
+    "max_buffered_bytes": _number_parser(int, 1, 2**36),
+    "read_timeout_s": _number_parser(float, 0.01, 3600),
+    "max_callers": _number_parser(int, 1, 100_000),
+    "list_interval_s": _number_parser(float, 0.05, 3600),
+    "drain_timeout_s": _number_parser(float, 0, 3600),
     "log_file": str,
 }
 
@@ -155,18 +155,18 @@
     :raises ExceptionGroup: with a `SettingsError` for each missing or invalid setting.
     """
     values: dict[str, Any] = {}
-    faults: list[SettingsError] = []
+    errors: list[SettingsError] = []
     for field, parse in PARSERS.items():
         if field not in texts:
             if field not in Settings._field_defaults:
-                faults.append(SettingsError(flag_of(field), "is missing"))
+                errors.append(SettingsError(flag_of(field), "is missing"))
             continue
         try:
             values[field] = parse(texts[field])
         except ValueError as exc:
-            faults.append(SettingsError(flag_of(field), str(exc)))
-    if faults:
-        raise ExceptionGroup("the settings cannot be used", faults)
+            errors.append(SettingsError(flag_of(field), str(exc)))
+    if errors:
+        raise ExceptionGroup("the settings cannot be used", errors)
     return Settings(**values)
 
 
--- a/packages/eelgrassdrum-daemon/tests/test_parts.py
+++ b/packages/eelgrassdrum-daemon/tests/test_parts.py
@@ -107,11 +107,11 @@
     """
     store = _answers.AnswerStore(max_bytes=100, max_answers=3)
     for number in range(5):
-        _answers.keep(store, f"a{number}", HttpAnswer(200, {}, b"x" * 10))
+        _answers.store_answer(store, f"a{number}", HttpAnswer(200, {}, b"x" * 10))
     assert list(store.answers) == ["a2", "a3", "a4"]
-    _answers.keep(store, "big", HttpAnswer(200, {}, b"x" * 95))
+    _answers.store_answer(store, "big", HttpAnswer(200, {}, b"x" * 95))
     assert list(store.answers) == ["big"]
-    _answers.drop(store, "big")
+    _answers.remove_answer(store, "big")
     assert (store.held_bytes, store.evicted) == (0, 5)
 
 
--- a/packages/eelgrassdrum-daemon/tests/test_whole_path.py
+++ b/packages/eelgrassdrum-daemon/tests/test_whole_path.py
@@ -75,7 +75,7 @@
     return call(running.daemon.address, "POST", path, body, {"X-Request-Id": request_id, **named})
 
 
-def begin(running: Running, request_id: str, work_ms: int = SLOW_WORK_MS):
+def start_request(running: Running, request_id: str, work_ms: int = SLOW_WORK_MS):
     """
     Send a request that runs for `work_ms`, and return once it runs, without its answer.
     """
@@ -94,7 +94,7 @@
 FIXTURES = {"running": make_running}
 
 
-def test_answer_is_whole_and_the_callers_own(running: Running) -> None:
+def test_answer_is_complete_and_names_its_request(running: Running) -> None:
     """
     A large body reaches the endpoint unchanged, and its answer has the caller's request id.
     """
@@ -124,7 +124,7 @@
     """
     On SIGTERM a running request is answered, a new one is refused as not run, and the exit is 0.
     """
-    conn = begin(running, "r-slow")
+    conn = start_request(running, "r-slow")
     running.daemon.popen.send_signal(signal.SIGTERM)
     wait_until(lambda: call(running.daemon.address, "GET", "/readyz").status == 503)
     refused = submit(running, "r-new", Key=running.key)
@@ -140,7 +140,7 @@
     """
     A second SIGTERM ends the process while a request still runs.
     """
-    conn = begin(running, "r-slow", ENDLESS_WORK_MS)
+    conn = start_request(running, "r-slow", ENDLESS_WORK_MS)
     running.daemon.popen.send_signal(signal.SIGTERM)
     wait_until(lambda: call(running.daemon.address, "GET", "/readyz").status == 503)
     running.daemon.popen.send_signal(signal.SIGTERM)
@@ -149,10 +149,10 @@
     conn.close()
 
 
-def test_caller_that_leaves_frees_its_place(running: Running) -> None:
+def test_disconnected_caller_frees_its_slot(running: Running) -> None:
     """
     After a caller closes its connection, its request ends and other requests are served.
     """
-    begin(running, "r-slow").close()
+    start_request(running, "r-slow").close()
     wait_until(lambda: runs(running)["r-slow"] == "done")
     assert submit(running, "r-next", Key=running.key).status == 200
