--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_app.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_app.py
@@ -1,5 +1,5 @@
 """
-The entry instance: tells the reducer what happens and carries out its effects.
+The entry instance: passes events to the reducer and executes the effects it returns.
 """
 
 import os
@@ -54,16 +54,16 @@
 
 class App(BaseComponent):
     """
-    One entry instance.
+    Event loop component of one entry instance: owns its sockets, timers and core state.
     """
 
     channel = "app"
 
     def init(self, settings: Settings, write: Write) -> None:
         """
-        Open the sockets; nothing is sent before the event loop runs.
+        Open the sockets and build the initial state; nothing is sent before the event loop runs.
 
-        :param settings: what the instance is told from outside.
+        :param settings: settings of the instance.
         :param write: writes a line of the structured log.
         """
         self.settings = settings
@@ -73,16 +73,18 @@
         self.recent = RecentRequests()
         self.open_requests: dict[int, _delivery.OpenRequest] = {}
         self.stop_state = _shutdown.StopState()
-        self.waiting_outcomes = 0
+        self.waiting_calls = 0
         self._pending: deque[object] = deque()
         self._reducing = False
         self._open_sockets()
         self.state = new_state(self._identity(), self._tuning())
-        self._effects = self._effect_table()
+        self._effects = self._build_effect_table()
 
     def post(self, event: object) -> None:
         """
-        Reduce an event and carry out its effects, after those that are being reduced already.
+        Queue an event, then reduce it and execute its effects.
+
+        An event posted while another is being reduced is processed after it.
 
         :param event: one of the core's events.
         """
@@ -96,9 +98,9 @@
         finally:
             self._reducing = False
 
-    def carry_out(self, effect: object) -> None:
+    def execute_effect(self, effect: object) -> None:
         """
-        Carry out one effect.
+        Execute one effect.
 
         :param effect: one of the core's effects.
         """
@@ -106,9 +108,9 @@
 
     def counters(self) -> dict[str, Any]:
         """
-        Give the counters of every part.
+        Return the counters of every component.
 
-        :returns: plain data by part.
+        :returns: plain data by component name.
         """
         parts = {
             "attempts": self.attempts.counters,
@@ -128,12 +130,12 @@
     def _reduce(self, event: object) -> None:
         self.state, produced = reduce(self.state, self.scheduler.clock(), event)
         for effect in produced:
-            self._carry_out_safely(effect)
+            self._execute_safely(effect)
 
-    def _carry_out_safely(self, effect: object) -> None:
-        # One effect that fails must not keep the others of its event from being carried out.
+    def _execute_safely(self, effect: object) -> None:
+        # A failing effect must not prevent the other effects of its event from being executed.
         try:
-            self.carry_out(effect)
+            self.execute_effect(effect)
         except Exception as exc:
             self._write_exception(exc)
             if isinstance(effect, effects.Dispatch):
@@ -183,10 +185,10 @@
     def _tuning(self) -> Tuning:
         return Tuning(list_interval_s=self.settings.list_interval_s)
 
-    def _effect_table(self) -> dict[type, Callable[[Any], None]]:
+    def _build_effect_table(self) -> dict[type, Callable[[Any], None]]:
         settings = self.settings
         endpoints = make_endpoint_adapter(
-            self.attempts, self.probes, self.post, partial(_answers.keep, self.answers)
+            self.attempts, self.probes, self.post, partial(_answers.store_answer, self.answers)
         )
         log_url = parse_base_url(settings.log_url)
         log = make_log_adapter(log_url, self.control, self.scheduler, self.post)
@@ -204,13 +206,13 @@
             effects.ProbeEndpoint: endpoints.probe,
             effects.SendPeer: self._send_peer,
             effects.WriteLog: self._write_log,
-            effects.ObserveLatency: partial(_metrics.observe, self.metrics),
+            effects.ObserveLatency: partial(_metrics.record_latencies, self.metrics),
             effects.Exit: partial(_shutdown.on_leave, self),
             **make_machine_effects(list_base, self.control, self.post, self._write_log),
         }
 
     def _drop_answer(self, effect: effects.DropAnswer) -> None:
-        _answers.drop(self.answers, effect.attempt)
+        _answers.remove_answer(self.answers, effect.attempt)
 
     def _send_peer(self, effect: effects.SendPeer) -> None:
         data = encode_message(self.state.identity.sender, effect.message)
@@ -243,7 +245,7 @@
 
     @handler("signal", channel="*", priority=100)
     def _on_signal(self, event, signo, _stack):
-        # The handlers of circuits would close the listening socket and end the process.
+        # The default handlers of circuits would close the listening socket and end the process.
         event.stop()
         _shutdown.on_signal(self, signo)
 
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_caller_api.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_caller_api.py
@@ -1,5 +1,5 @@
 """
-The callers' API: from an HTTP request to an event, and from an effect to an HTTP answer.
+The callers' API: converts HTTP requests to events and builds the headers of responses.
 """
 
 import re
@@ -20,7 +20,7 @@
 REQUEST_ID_PATTERN = re.compile(r"[\x21-\x7e]{1,128}")
 MAX_TIMEOUT_MS = 3_600_000
 BEARER = "bearer"
-# Headers that speak of one connection, and those that the server writes itself.
+# Hop-by-hop headers, and headers that the server sets itself.
 DROPPED_HEADERS = frozenset(
     {
         "Connection",
@@ -37,16 +37,16 @@
 
 class BadHeaderError(Exception):
     """
-    A header of a caller's request that cannot be used.
+    Raised when a header of a caller's request is missing or invalid.
     """
 
 
 def read_request(exchange: Exchange) -> events.RequestReceived | refusals.Refusal:
     """
-    Read a caller's request.
+    Parse a caller's request.
 
-    :param exchange: the whole request.
-    :returns: the event, or a refusal of a malformed request.
+    :param exchange: the complete request.
+    :returns: the event, or a refusal if the request is malformed.
     """
     headers = exchange.req.headers
     match = PATH_PATTERN.fullmatch(exchange.req.path)
@@ -59,15 +59,15 @@
     try:
         return events.RequestReceived(
             token=exchange.token,
-            request_id=_request_id(headers),
+            request_id=_parse_request_id(headers),
             queue=f"{match[1]}/{match[2]}",
             credential=read_credential(headers),
-            idempotent=_flag(headers, "X-Idempotent"),
-            urgent=_flag(headers, "X-Urgent"),
-            timeout_s=_timeout_s(headers),
+            idempotent=_parse_flag(headers, "X-Idempotent"),
+            urgent=_parse_flag(headers, "X-Urgent"),
+            timeout_s=_parse_timeout_s(headers),
             size_bytes=len(exchange.body),
             body_hash=xxhash.xxh3_64_intdigest(exchange.body),
-            repeat=_flag(headers, "X-Repeat"),
+            repeat=_parse_flag(headers, "X-Repeat"),
         )
     except BadHeaderError as exc:
         return refusals.Refusal(refusals.BAD_REQUEST, detail=str(exc))
@@ -75,11 +75,11 @@
 
 def read_credential(headers: Headers) -> Credential | None:
     """
-    Read the key that came with a request.
+    Parse the key from the headers of a request.
 
     :param headers: the request's headers.
-    :returns: the credential, or ``None`` when no key came.
-    :raises BadHeaderError: when what came is no key.
+    :returns: the credential, or ``None`` if the request has no key.
+    :raises BadHeaderError: if the key is malformed or the scheme is not Bearer.
     """
     text = headers.get("X-Key")
     if text is None:
@@ -94,9 +94,9 @@
     return credential
 
 
-def relayed_headers(answer: HttpAnswer, request_id: str, attempt: str) -> dict[str, str]:
+def forwarded_headers(answer: HttpAnswer, request_id: str, attempt: str) -> dict[str, str]:
     """
-    Give the headers of an endpoint's answer as the caller gets them.
+    Return the headers with which an endpoint's answer is forwarded to the caller.
 
     :param answer: the endpoint's answer.
     :param request_id: the caller's id of the request.
@@ -109,7 +109,7 @@
     return headers
 
 
-def _request_id(headers: Any) -> str:
+def _parse_request_id(headers: Any) -> str:
     text = headers.get(REQUEST_ID_HEADER)
     if text is None:
         raise BadHeaderError("X-Request-Id is missing")
@@ -118,14 +118,14 @@
     return text
 
 
-def _flag(headers: Any, name: str) -> bool:
+def _parse_flag(headers: Any, name: str) -> bool:
     text = headers.get(name, "0")
     if text not in ("0", "1"):
         raise BadHeaderError(f"{name} takes 0 or 1")
     return text == "1"
 
 
-def _timeout_s(headers: Any) -> float | None:
+def _parse_timeout_s(headers: Any) -> float | None:
     text = headers.get("X-Timeout-Ms")
     if text is None:
         return None
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_delivery.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_delivery.py
@@ -1,5 +1,5 @@
 """
-Answers and refusals on their way to callers, and bodies on their way to endpoints.
+Delivery of answers and refusals to callers, and of request bodies to endpoints.
 """
 
 import time
@@ -8,8 +8,8 @@
 
 from eelgrassdrum_core import effects, events, refusals
 
-from ._caller_api import relayed_headers
-from ._recent import EndedRequest, remember
+from ._caller_api import forwarded_headers
+from ._recent import EndedRequest, record_ended_request
 from ._server_answers import refusal_body, refusal_headers
 
 if TYPE_CHECKING:
@@ -20,11 +20,11 @@
 
 class OpenRequest(NamedTuple):
     """
-    A caller's request that waits for its answer.
+    A caller's request that has not been answered yet.
 
-    :param request_id: the caller's id.
+    :param request_id: id that the caller gave the request.
     :param queue: ``WORKSPACE/QUEUE``.
-    :param body: its body.
+    :param body: body of the request.
     """
 
     request_id: str
@@ -32,7 +32,7 @@
     body: bytes
 
 
-NOT_OPEN = OpenRequest("", "", b"")
+UNKNOWN_REQUEST = OpenRequest("", "", b"")
 
 
 def dispatch(
@@ -42,8 +42,8 @@
     Send a request's body to an endpoint.
 
     :param app: the entry instance.
-    :param send: sends an attempt.
-    :param effect: what to send.
+    :param send: function that sends an attempt with its body.
+    :param effect: the attempt to send.
     """
     request = app.open_requests.get(effect.token)
     if request is None:
@@ -54,18 +54,18 @@
 
 def reply(app: "App", effect: effects.Reply) -> None:
     """
-    Give an endpoint's answer to its caller.
+    Send an endpoint's answer to the caller, or refuse the request if the answer was evicted.
 
     :param app: the entry instance.
-    :param effect: which answer goes to which caller.
+    :param effect: the attempt whose answer is sent, and the token of the request.
     """
     answer = app.answers.answers.get(effect.attempt)
     if answer is None:
         refusal = refusals.Refusal(refusals.OUTCOME_UNKNOWN, detail="the answer is no longer held")
         refuse(app, effects.Refuse(effect.token, refusal))
         return
-    request = app.open_requests.pop(effect.token, NOT_OPEN)
-    headers = relayed_headers(answer, request.request_id, effect.attempt)
+    request = app.open_requests.pop(effect.token, UNKNOWN_REQUEST)
+    headers = forwarded_headers(answer, request.request_id, effect.attempt)
     app.server.answer(effect.token, answer.status, headers, answer.body)
     ended = EndedRequest(
         request.request_id,
@@ -78,7 +78,7 @@
         "",
         time.time(),
     )
-    remember(app.recent, ended)
+    record_ended_request(app.recent, ended)
 
 
 def refuse(app: "App", effect: effects.Refuse) -> None:
@@ -86,9 +86,9 @@
     Refuse a caller's request.
 
     :param app: the entry instance.
-    :param effect: which request, and why.
+    :param effect: the token of the request, and the refusal.
     """
-    request = app.open_requests.pop(effect.token, NOT_OPEN)
+    request = app.open_requests.pop(effect.token, UNKNOWN_REQUEST)
     refusal = effect.refusal
     app.server.answer(
         effect.token,
@@ -107,15 +107,15 @@
         f"{refusal.code.message} {refusal.detail}".strip(),
         time.time(),
     )
-    remember(app.recent, ended)
+    record_ended_request(app.recent, ended)
 
 
 def refuse_all(app: "App", refusal: refusals.Refusal) -> None:
     """
-    Refuse every request that waits for its answer.
+    Refuse every request that has not been answered yet.
 
     :param app: the entry instance.
-    :param refusal: why.
+    :param refusal: reason for the refusal.
     """
     for token in list(app.open_requests):
         refuse(app, effects.Refuse(token, refusal))
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_settings.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_settings.py
@@ -22,7 +22,7 @@
 
 class SettingsError(ValueError):
     """
-    One setting that cannot be used.
+    Raised when a setting is missing or invalid.
     """
 
     def __init__(self, flag: str, reason: str) -> None:
@@ -33,24 +33,25 @@
 
 class Settings(NamedTuple):
     """
-    Everything that an entry instance is told from outside.
-
-    :param instance: its id.
-    :param zone: its availability zone.
-    :param listen: ``IP:PORT`` for callers and operators.
-    :param peer_listen: ``IP:PORT`` for other entry instances.
-    :param peer_advertise: ``IP:PORT`` that others are told, when it differs from what is bound.
-    :param log_url: base of the platform's log service.
-    :param list_url: base of the platform's list of instances.
+    Validated settings of an entry instance.
+
+    :param instance: id of the instance.
+    :param zone: availability zone of the instance.
+    :param listen: ``IP:PORT`` to listen on for callers and operators.
+    :param peer_listen: ``IP:PORT`` to listen on for other entry instances.
+    :param peer_advertise: ``IP:PORT`` advertised to peers, if it differs from the bound one.
+    :param log_url: base URL of the platform's log service.
+    :param list_url: base URL of the platform's instance list.
     :param root_digest: SHA-256 of the first operator's secret, in hex.
-    :param incarnation: number that grows with each start, or 0 for the time in milliseconds.
-    :param max_body_bytes: largest body of a request.
-    :param max_buffered_bytes: bodies held in all.
-    :param read_timeout_s: seconds for a whole request to arrive.
-    :param max_callers: most open connections of callers.
-    :param list_interval_s: seconds between two reads of the list of instances.
-    :param drain_timeout_s: seconds that a graceful stop may take.
-    :param log_file: where the log's lines go, or ``-`` for standard error.
+    :param incarnation: number that increases with each start, or 0 for the time in
+        milliseconds.
+    :param max_body_bytes: maximum size of a request body, in bytes.
+    :param max_buffered_bytes: maximum size of all buffered bodies, in bytes.
+    :param read_timeout_s: timeout for receiving a complete request, in seconds.
+    :param max_callers: maximum number of open caller connections.
+    :param list_interval_s: seconds between two reads of the instance list.
+    :param drain_timeout_s: timeout of a graceful shutdown, in seconds.
+    :param log_file: file for log lines, or ``-`` for standard error.
     """
 
     instance: str
@@ -71,13 +72,13 @@
     log_file: str = "-"
 
 
-def _name(text: str) -> str:
+def _parse_name(text: str) -> str:
     if not NAME_PATTERN.fullmatch(text):
         raise ValueError("needs lower-case letters, digits and hyphens")
     return text
 
 
-def _address(text: str) -> str:
+def _parse_address(text: str) -> str:
     host, _, port = text.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
@@ -88,21 +89,21 @@
     return text
 
 
-def _url(text: str) -> str:
+def _parse_url(text: str) -> str:
     parts = urlsplit(text)
     if parts.scheme != "http":
         raise ValueError("needs http://IP:PORT")
-    _address(parts.netloc)
+    _parse_address(parts.netloc)
     return text.rstrip("/")
 
 
-def _digest(text: str) -> str:
+def _parse_digest(text: str) -> str:
     if text and not DIGEST_PATTERN.fullmatch(text):
         raise ValueError("needs 64 hexadecimal digits")
     return text
 
 
-def _number(kind: Callable[[str], Any], low: float, high: float) -> Callable[[str], Any]:
+def _number_parser(kind: Callable[[str], Any], low: float, high: float) -> Callable[[str], Any]:
     def parse(text: str) -> Any:
         try:
             value = kind(text)
@@ -116,28 +117,28 @@
 
 
 PARSERS: dict[str, Callable[[str], Any]] = {
-    "instance": _name,
-    "zone": _name,
-    "listen": _address,
-    "peer_listen": _address,
-    "log_url": _url,
-    "list_url": _url,
-    "peer_advertise": _address,
-    "root_digest": _digest,
-    "incarnation": _number(int, 0, 2**53),
-    "max_body_bytes": _number(int, 1, 2**30),
-    "max_buffered_bytes": _number(int, 1, 2**36),
-    "read_timeout_s": _number(float, 0.01, 3600),
-    "max_callers": _number(int, 1, 100_000),
-    "list_interval_s": _number(float, 0.05, 3600),
-    "drain_timeout_s": _number(float, 0, 3600),
+    "instance": _parse_name,
+    "zone": _parse_name,
+    "listen": _parse_address,
+    "peer_listen": _parse_address,
+    "log_url": _parse_url,
+    "list_url": _parse_url,
+    "peer_advertise": _parse_address,
+    "root_digest": _parse_digest,
+    "incarnation": _number_parser(int, 0, 2**53),
+    "max_body_bytes": _number_parser(int, 1, 2**30),
+    "max_buffered_bytes": _number_parser(int, 1, 2**36),
+    "read_timeout_s": _number_parser(float, 0.01, 3600),
+    "max_callers": _number_parser(int, 1, 100_000),
+    "list_interval_s": _number_parser(float, 0.05, 3600),
+    "drain_timeout_s": _number_parser(float, 0, 3600),
     "log_file": str,
 }
 
 
 def flag_of(field: str) -> str:
     """
-    Give the flag of a setting.
+    Return the command-line flag of a setting.
 
     :param field: name of a field of `Settings`.
     :returns: the flag, such as ``--log-url``.
@@ -147,25 +148,25 @@
 
 def validate(texts: dict[str, str]) -> Settings:
     """
-    Turn texts into settings.
+    Parse and validate the text of each setting.
 
-    :param texts: text of each setting given, by the field's name.
+    :param texts: text of each given setting, by field name.
     :returns: the settings.
-    :raises ExceptionGroup: of a `SettingsError` for each setting at fault.
+    :raises ExceptionGroup: with a `SettingsError` for each missing or invalid setting.
     """
     values: dict[str, Any] = {}
-    faults: list[SettingsError] = []
+    errors: list[SettingsError] = []
     for field, parse in PARSERS.items():
         if field not in texts:
             if field not in Settings._field_defaults:
-                faults.append(SettingsError(flag_of(field), "is missing"))
+                errors.append(SettingsError(flag_of(field), "is missing"))
             continue
         try:
             values[field] = parse(texts[field])
         except ValueError as exc:
-            faults.append(SettingsError(flag_of(field), str(exc)))
-    if faults:
-        raise ExceptionGroup("the settings cannot be used", faults)
+            errors.append(SettingsError(flag_of(field), str(exc)))
+    if errors:
+        raise ExceptionGroup("the settings cannot be used", errors)
     return Settings(**values)
 
 
@@ -202,11 +203,11 @@
 
 def parse_settings(arguments: Sequence[str]) -> Settings | None:
     """
-    Read the settings from flags and environment variables; flags win.
+    Read the settings from flags and environment variables; flags take precedence.
 
     :param arguments: the command line without the program's name.
-    :returns: the settings, or ``None`` when only help was asked for.
-    :raises ExceptionGroup: of a `SettingsError` for each setting at fault.
+    :returns: the settings, or ``None`` if only help was requested.
+    :raises ExceptionGroup: with a `SettingsError` for each missing or invalid setting.
     """
     app = cyclopts.App(
         name="eelgrassdrumd",
@@ -225,7 +226,7 @@
 
 def load_or_exit(arguments: Sequence[str]) -> Settings:
     """
-    Read the settings, or end the process with every fault on standard error.
+    Read the settings, or print every error to standard error and exit.
 
     :param arguments: the command line without the program's name.
     :returns: the settings.
--- a/packages/eelgrassdrum-daemon/tests/test_whole_path.py
+++ b/packages/eelgrassdrum-daemon/tests/test_whole_path.py
@@ -1,5 +1,5 @@
 """
-One entry instance as a process, from callers to an endpoint and back.
+End-to-end tests of one entry instance process, from callers to an endpoint and back.
 """
 
 import signal
@@ -42,7 +42,7 @@
 
 class Running(NamedTuple):
     """
-    The processes, an operator and a granted key.
+    The running processes, a writer of operator records and a granted key.
     """
 
     platform: fleet.Platform
@@ -75,9 +75,9 @@
     return call(running.daemon.address, "POST", path, body, {"X-Request-Id": request_id, **named})
 
 
-def begin(running: Running, request_id: str, work_ms: int = SLOW_WORK_MS):
+def start_request(running: Running, request_id: str, work_ms: int = SLOW_WORK_MS):
     """
-    Send a request that runs for a while, without waiting for its answer.
+    Send a request that runs for `work_ms`, and return once it runs, without its answer.
     """
     conn = connect(running.daemon.address)
     headers = {"X-Request-Id": request_id, "X-Key": running.key}
@@ -94,9 +94,9 @@
 FIXTURES = {"running": make_running}
 
 
-def test_answer_is_whole_and_the_callers_own(running: Running) -> None:
+def test_answer_is_complete_and_names_its_request(running: Running) -> None:
     """
-    A large body reaches the endpoint byte for byte, and its answer names the caller's request.
+    A large body reaches the endpoint unchanged, and its answer has the caller's request id.
     """
     answer = submit(running, "r-large", LARGE_BODY, Key=running.key)
     assert answer.status == 200
@@ -108,7 +108,7 @@
 
 def test_keyed_queue_takes_granted_keys_only(running: Running) -> None:
     """
-    No key, a wrong key and a withdrawn key are refused as not run, and nothing of them runs.
+    Requests with no key, a wrong key or a withdrawn key are refused as not run and do not run.
     """
     assert submit(running, "r-none").json()["error"] == "key_required"
     assert submit(running, "r-wrong", Key="egd_k1_other").json()["error"] == "key_refused"
@@ -124,7 +124,7 @@
     """
     On SIGTERM a running request is answered, a new one is refused as not run, and the exit is 0.
     """
-    conn = begin(running, "r-slow")
+    conn = start_request(running, "r-slow")
     running.daemon.popen.send_signal(signal.SIGTERM)
     wait_until(lambda: call(running.daemon.address, "GET", "/readyz").status == 503)
     refused = submit(running, "r-new", Key=running.key)
@@ -140,7 +140,7 @@
     """
     A second SIGTERM ends the process while a request still runs.
     """
-    conn = begin(running, "r-slow", ENDLESS_WORK_MS)
+    conn = start_request(running, "r-slow", ENDLESS_WORK_MS)
     running.daemon.popen.send_signal(signal.SIGTERM)
     wait_until(lambda: call(running.daemon.address, "GET", "/readyz").status == 503)
     running.daemon.popen.send_signal(signal.SIGTERM)
@@ -149,10 +149,10 @@
     conn.close()
 
 
-def test_caller_that_leaves_frees_its_place(running: Running) -> None:
+def test_disconnected_caller_frees_its_slot(running: Running) -> None:
     """
-    After a caller closed its connection, its request ends and others are served.
+    After a caller closes its connection, its request ends and other requests are served.
     """
-    begin(running, "r-slow").close()
+    start_request(running, "r-slow").close()
     wait_until(lambda: runs(running)["r-slow"] == "done")
     assert submit(running, "r-next", Key=running.key).status == 200
