--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_http_pool.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_http_pool.py
@@ -79,7 +79,7 @@
         :param req: the request.
         :returns: the connection, for `abort`, or ``None`` when the request has failed already.
         """
-        conn = self._take_idle(req.address) or self._open(req)
+        conn = self._reuse_idle(req.address) or self._open(req)
         if conn is None:
             return None
         conn.req = req
@@ -91,7 +91,7 @@
         expire = partial(self._fail, conn, "timeout")
         conn.deadline = self.scheduler.call_later(req.timeout_s, expire)
         if not conn.connecting:
-            self._write_some(conn)
+            self._write_pending(conn)
         return conn
 
     def abort(self, conn: ClientConn, reason: str = "aborted") -> None:
@@ -113,7 +113,7 @@
         for conn in list(self._idle.pop(address, ())):
             self._close(conn)
 
-    def _take_idle(self, address: str) -> ClientConn | None:
+    def _reuse_idle(self, address: str) -> ClientConn | None:
         idle = self._idle.get(address)
         while idle:
             conn = idle.pop()
@@ -140,7 +140,7 @@
         self._conns[sock] = conn
         self._open_conns[req.address] += 1
         self.counters.opened += 1
-        self._want_write(conn)
+        self._register_writer(conn)
         return conn
 
     @handler("_write")
@@ -150,7 +150,7 @@
             return
         if conn.connecting and not self._finish_connect(conn):
             return
-        self._write_some(conn)
+        self._write_pending(conn)
 
     @handler("_read")
     def _on_readable(self, sock):
@@ -158,7 +158,7 @@
         if conn is None:
             return
         if conn.req is None:
-            self._drop_idle(conn)
+            self._close_idle(conn)
             return
         try:
             data = sock.recv(READ_BYTES)
@@ -167,7 +167,7 @@
         except OSError:
             data = b""
         if data:
-            self._take_data(conn, data)
+            self._receive_data(conn, data)
         else:
             self._fail(conn, "closed")
 
@@ -177,7 +177,7 @@
         if conn is None:
             return
         if conn.req is None:
-            self._drop_idle(conn)
+            self._close_idle(conn)
         else:
             self._fail(conn, "connect" if conn.connecting else "closed")
 
@@ -189,12 +189,12 @@
         self.poller.addReader(self, conn.sock)
         return True
 
-    def _write_some(self, conn: ClientConn) -> None:
+    def _write_pending(self, conn: ClientConn) -> None:
         while conn.out:
             try:
                 sent = conn.sock.send(conn.out[0])
             except BlockingIOError:
-                self._want_write(conn)
+                self._register_writer(conn)
                 return
             except OSError:
                 self._fail(conn, "closed")
@@ -208,12 +208,12 @@
             conn.writing = False
             self.poller.removeWriter(conn.sock)
 
-    def _want_write(self, conn: ClientConn) -> None:
+    def _register_writer(self, conn: ClientConn) -> None:
         if not conn.writing:
             conn.writing = True
             self.poller.addWriter(self, conn.sock)
 
-    def _take_data(self, conn: ClientConn, data: bytes) -> None:
+    def _receive_data(self, conn: ClientConn, data: bytes) -> None:
         conn.received_bytes += len(data)
         self.buffered_bytes += len(data)
         is_over = self.buffered_bytes > self.max_buffered_bytes
@@ -223,11 +223,11 @@
         try:
             feed(conn.parser, data)
             if conn.parser.is_headers_complete():
-                self._take_answer(conn)
+                self._handle_response(conn)
         except MalformedMessageError:
             self._fail(conn, "malformed")
 
-    def _take_answer(self, conn: ClientConn) -> None:
+    def _handle_response(self, conn: ClientConn) -> None:
         parser = conn.parser
         status = parser.get_status_code()
         length = 0 if status in BODILESS_STATUSES else framing(parser).length_bytes
@@ -274,7 +274,7 @@
         self.buffered_bytes -= conn.received_bytes
         conn.received_bytes = 0
 
-    def _drop_idle(self, conn: ClientConn) -> None:
+    def _close_idle(self, conn: ClientConn) -> None:
         idle = self._idle.get(conn.address)
         if idle and conn in idle:
             idle.remove(conn)
