--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_http_messages.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_http_messages.py
@@ -1,5 +1,5 @@
 """
-Requests and answers of the client side of HTTP.
+Requests and responses of the HTTP client.
 """
 
 from collections.abc import Callable, Mapping
@@ -8,11 +8,11 @@
 
 class HttpAnswer(NamedTuple):
     """
-    A whole answer.
+    A complete response.
 
     :param status: HTTP status.
-    :param headers: its headers, names in title case.
-    :param body: its whole body.
+    :param headers: the headers, with names in title case.
+    :param body: the complete body.
     """
 
     status: int
@@ -22,10 +22,10 @@
 
 class HttpFailure(NamedTuple):
     """
-    A request that ended without an answer.
+    The failure of a request that received no valid response.
 
     :param reason: such as ``connect``, ``timeout``, ``closed`` or ``malformed``.
-    :param sent: ``False`` only when certainly no byte of the request was sent.
+    :param sent: ``False`` only if it is certain that no byte of the request was sent.
     """
 
     reason: str
@@ -42,12 +42,12 @@
     :param address: ``IP:PORT``.
     :param method: HTTP method.
     :param path: path and query.
-    :param timeout_s: seconds until it has failed.
+    :param timeout_s: timeout in seconds, after which the request fails.
     :param on_done: called once with the outcome.
     :param headers: headers besides ``Host`` and ``Content-Length``.
     :param body: the body.
-    :param is_expected: tells whether an answer belongs to this request; one that does not is
-        dropped together with its connection.
+    :param is_expected: returns whether a response belongs to this request; if not, the request
+        fails and its connection is closed.
     """
 
     address: str
@@ -62,10 +62,10 @@
 
 def encode_head(req: ClientRequest) -> bytes:
     """
-    Give the first line and the headers of a request as sent.
+    Encode the request line and the headers of a request.
 
     :param req: the request.
-    :returns: the bytes, up to the empty line.
+    :returns: the bytes, including the empty line.
     """
     lines = [f"{req.method} {req.path} HTTP/1.1", f"Host: {req.address}"]
     lines += [f"{name}: {value}" for name, value in req.headers.items()]
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_http_parser.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_http_parser.py
@@ -1,5 +1,5 @@
 """
-The circuits HTTP parser, with the framing that the daemon insists on.
+Wrapper of the circuits HTTP parser that enforces strict message framing.
 """
 
 from typing import NamedTuple
@@ -17,7 +17,7 @@
 
 class MalformedMessageError(Exception):
     """
-    What came over the connection is no HTTP message that can be taken.
+    Raised when received bytes are not an acceptable HTTP message.
     """
 
     def __init__(self, status: int, reason: str) -> None:
@@ -28,9 +28,9 @@
 
 class Framing(NamedTuple):
     """
-    How the end of a message's body is found.
+    How the end of a message body is determined.
 
-    :param length_bytes: its declared length, or ``None`` when it is chunked.
+    :param length_bytes: the declared length, or ``None`` for a chunked body.
     """
 
     length_bytes: int | None
@@ -38,11 +38,11 @@
 
 def feed(parser: HttpParser, data: bytes) -> None:
     """
-    Give received bytes to a parser.
+    Feed received bytes to a parser.
 
     :param parser: the parser.
     :param data: the bytes.
-    :raises MalformedMessageError: when they are no HTTP.
+    :raises MalformedMessageError: if the bytes are not valid HTTP.
     """
     try:
         parser.execute(data, len(data))
@@ -59,11 +59,11 @@
 
 def framing(parser: HttpParser) -> Framing:
     """
-    Read how a message whose headers are complete says where it ends.
+    Return the body framing of a message whose headers are complete.
 
     :param parser: the parser.
     :returns: the framing.
-    :raises MalformedMessageError: when it does not say so, or contradicts itself.
+    :raises MalformedMessageError: if the framing is missing, malformed or ambiguous.
     """
     headers = parser.get_headers()
     length = headers.get("Content-Length")
@@ -81,12 +81,12 @@
 
 def check_values(headers: Headers) -> None:
     """
-    Check that no header's value breaks the message that it is passed on in.
+    Check that header values can be forwarded safely.
 
-    The parser decodes escapes, so a value can hold a line break that was not one when sent.
+    The parser decodes escapes, so a value may contain a line break that was escaped when sent.
 
     :param headers: the parsed headers.
-    :raises MalformedMessageError: when one does.
+    :raises MalformedMessageError: if a value contains an unsafe or non-ASCII character.
     """
     for _, value in headers.items():
         if not UNSAFE_CHARACTERS.isdisjoint(value) or not value.isascii():
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_http_pool.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_http_pool.py
@@ -1,9 +1,9 @@
 """
 Pool of HTTP/1.1 client connections with deadlines.
 
-The circuits HTTP client holds one connection, sends in series, has no deadline, and waits for a
-connect by polling. Here non-blocking sockets are registered with the circuits poller instead, and
-answers are read by the circuits parser.
+The circuits HTTP client uses a single connection, sends requests serially, has no timeout, and
+polls for a connect to complete. This pool registers non-blocking sockets with the circuits poller
+instead, and parses responses with the circuits parser.
 """
 
 import socket
@@ -35,9 +35,9 @@
 
 class HttpPool(BaseComponent):
     """
-    Sends requests over connections that are kept and used again.
+    Sends requests over persistent connections that are reused.
 
-    Every request ends in exactly one call of its ``on_done``: with a whole answer or with a
+    ``on_done`` of each request is called exactly once: with a complete response, or with a
     failure that says whether any byte of the request may have been sent.
     """
 
@@ -53,13 +53,14 @@
         **_options: str,
     ) -> None:
         """
-        Make an empty pool.
+        Create an empty pool.
 
         :param poller: the poller of the event loop.
-        :param scheduler: runs the deadlines.
-        :param conns_per_address: most connections to one address.
-        :param max_answer_bytes: larger answers are failures.
-        :param max_buffered_bytes: answers held in part; those beyond are failures.
+        :param scheduler: runs the request timeouts.
+        :param conns_per_address: maximum number of connections to one address.
+        :param max_answer_bytes: maximum size of a response; a larger one fails its request.
+        :param max_buffered_bytes: maximum total size of incomplete responses; a request
+            whose response exceeds it fails.
         """
         self.poller = poller
         self.scheduler = scheduler
@@ -77,7 +78,7 @@
         Send a request.
 
         :param req: the request.
-        :returns: the connection, for `abort`, or ``None`` when the request has failed already.
+        :returns: the connection, for `abort`, or ``None`` if the request has already failed.
         """
         conn = self._reuse_idle(req.address) or self._open(req)
         if conn is None:
@@ -96,10 +97,10 @@
 
     def abort(self, conn: ClientConn, reason: str = "aborted") -> None:
         """
-        Give up on the request of a connection, and close it.
+        Fail the request in flight on a connection, and close the connection.
 
         :param conn: the connection.
-        :param reason: what its failure says.
+        :param reason: reason of the reported failure.
         """
         if conn.req is not None:
             self._fail(conn, reason)
@@ -249,7 +250,7 @@
         self.scheduler.cancel(conn.deadline)
         self._release(conn)
         idle = self._idle[conn.address]
-        # An answer that came before the whole request was sent leaves the connection out of step.
+        # A response to a partly sent request leaves the connection out of sync.
         reusable = not conn.out and conn.parser.should_keep_alive()
         if reusable and len(idle) < IDLE_CONNS_PER_ADDRESS:
             conn.idle_since_s = self.scheduler.clock()
@@ -265,7 +266,7 @@
         if req is None:
             return
         if reason == "timeout":
-            # Whatever lost track of this connection may have lost the idle ones as well.
+            # Whatever dropped the state of this connection may have dropped that of idle ones too.
             self.close_address(conn.address)
         self.counters.failed += 1
         req.on_done(HttpFailure(reason, sent=conn.sent_bytes > 0))
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_http_state.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_http_state.py
@@ -1,5 +1,5 @@
 """
-State of the client connections.
+State of the HTTP client connections.
 """
 
 import socket
@@ -14,7 +14,7 @@
 
 class ClientConn(msgspec.Struct, eq=False):
     """
-    One connection to a server, and the request that it carries.
+    A connection to a server, and its request in flight, if any.
     """
 
     sock: socket.socket
@@ -32,7 +32,7 @@
 
 class PoolCounters(msgspec.Struct):
     """
-    What a pool of connections has done since the start.
+    Counters of a connection pool since process start.
     """
 
     opened: int = 0
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_sockets.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_sockets.py
@@ -1,5 +1,5 @@
 """
-Non-blocking TCP sockets of the client side.
+Non-blocking TCP client sockets.
 """
 
 import errno
@@ -10,11 +10,11 @@
 
 def begin_connect(address: str) -> socket.socket | None:
     """
-    Begin to connect without waiting.
+    Start a non-blocking connect.
 
     :param address: ``IP:PORT``.
-    :returns: the socket, which becomes writable when it is connected or has failed, or ``None``
-        when the address cannot be connected to.
+    :returns: the socket, which becomes writable when the connect succeeds or fails, or ``None``
+        if the address is invalid or the connect fails immediately.
     """
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -32,10 +32,10 @@
 
 def is_open(sock: socket.socket) -> bool:
     """
-    Tell whether a connection that should be quiet still is.
+    Return whether an idle connection is open and has no unread data.
 
     :param sock: the socket.
-    :returns: ``False`` when the other end closed it, or sent bytes that belong to no request.
+    :returns: ``False`` if the peer closed it, or sent bytes that belong to no request.
     """
     try:
         sock.recv(1, socket.MSG_PEEK)
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_urls.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_urls.py
@@ -8,10 +8,10 @@
 
 class BaseUrl(NamedTuple):
     """
-    Where a service of the platform is.
+    Location of a service of the platform.
 
     :param address: ``IP:PORT``.
-    :param path: path before the service's own, without a slash at the end.
+    :param path: path prefix of the service, without a trailing slash.
     """
 
     address: str
@@ -20,10 +20,10 @@
 
 def parse_base_url(url: str) -> BaseUrl:
     """
-    Split a validated URL.
+    Parse a validated base URL.
 
     :param url: such as ``http://127.0.0.1:8000``.
-    :returns: its parts.
+    :returns: the address and the path prefix.
     """
     parts = urlsplit(url)
     return BaseUrl(parts.netloc, parts.path.rstrip("/"))
