--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_http_pool.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_http_pool.py
@@ -248,7 +248,7 @@
     def _finish(self, conn: ClientConn, answer: HttpAnswer) -> None:
         req, conn.req = conn.req, None
         self.scheduler.cancel(conn.deadline)
-        self._release(conn)
+        self._release_buffer(conn)
         idle = self._idle[conn.address]
         # A response to a partly sent request leaves the connection out of sync.
         reusable = not conn.out and conn.parser.should_keep_alive()
@@ -271,7 +271,7 @@
         self.counters.failed += 1
         req.on_done(HttpFailure(reason, sent=conn.sent_bytes > 0))
 
-    def _release(self, conn: ClientConn) -> None:
+    def _release_buffer(self, conn: ClientConn) -> None:
         self.buffered_bytes -= conn.received_bytes
         conn.received_bytes = 0
 
@@ -285,7 +285,7 @@
         if self._conns.pop(conn.sock, None) is None:
             return
         self.scheduler.cancel(conn.deadline)
-        self._release(conn)
+        self._release_buffer(conn)
         self._open_conns[conn.address] -= 1
         if not self._open_conns[conn.address]:
             del self._open_conns[conn.address]
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_http_server.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_http_server.py
@@ -69,7 +69,7 @@
         self.exchanges: dict[int, Exchange] = {}
         self.buffered_bytes = 0
         self._is_closing = False
-        self._is_deaf = False
+        self._has_stopped_listening = False
         self._conns: dict[socket.socket, ServerConn] = {}
         self._tokens = itertools.count(1)
         self._tcp = TCPServer(bind, channel=self.channel, bufsize=READ_BYTES).register(self)
@@ -97,14 +97,14 @@
             return
         conn = self._conns[exchange.req.sock]
         conn.token = None
-        self._release(conn)
+        self._release_buffer(conn)
         res = exchange.res
         res.status = status
         res.close = res.close or conn.close_after
         for name, value in headers.items():
             res.headers[name] = value
         conn.closing = res.close
-        conn.deadline = self._after(IDLE_TIMEOUT_S, conn)
+        conn.deadline = self._schedule_close(IDLE_TIMEOUT_S, conn)
         data = encode_answer(res, body)
         # An answer is never refused for want of memory; what it takes up holds back new requests.
         conn.held_bytes = len(data)
@@ -134,8 +134,8 @@
         """
         self.close_after_answers()
         listener = self._tcp._sock
-        if listener is not None and not self._is_deaf:
-            self._is_deaf = True
+        if listener is not None and not self._has_stopped_listening:
+            self._has_stopped_listening = True
             self._tcp._poller.discard(listener)
             # An event that says that a client waits may be queued already.
             self.scheduler.call_later(FLUSH_POLL_S, partial(self._tcp._close, listener))
@@ -151,7 +151,7 @@
             return
         self.counters.accepted += 1
         conn = self._conns[sock] = ServerConn(sock, close_after=self._is_closing)
-        conn.deadline = self._after(IDLE_TIMEOUT_S, conn)
+        conn.deadline = self._schedule_close(IDLE_TIMEOUT_S, conn)
 
     @handler("disconnect")
     def _on_disconnect(self, sock):
@@ -159,7 +159,7 @@
         if conn is None:
             return
         self.scheduler.cancel(conn.deadline)
-        self._release(conn)
+        self._release_buffer(conn)
         if conn.token is not None and self.exchanges.pop(conn.token, None):
             self.counters.abandoned += 1
             self.on_abandoned(conn.token)
@@ -169,7 +169,7 @@
         conn = self._conns.get(sock)
         is_quiet = conn is not None and conn.token is None and conn.parser is None
         if is_quiet and not self._tcp._buffers.get(sock):
-            self._release(conn)
+            self._release_buffer(conn)
 
     @handler("read")
     def _on_read(self, sock, data):
@@ -182,7 +182,7 @@
             conn.close_after = True
             return
         try:
-            self._take_data(conn, data)
+            self._receive_data(conn, data)
         except MalformedMessageError as exc:
             self.counters.malformed += 1
             self._reject(conn, exc.status, exc.reason)
@@ -191,32 +191,32 @@
             self._reject(conn, 500, "internal error", refusals.UNKNOWN)
             raise
 
-    def _take_data(self, conn: ServerConn, data: bytes) -> None:
+    def _receive_data(self, conn: ServerConn, data: bytes) -> None:
         if conn.parser is None:
-            self._begin(conn)
+            self._begin_request(conn)
         conn.received_bytes += len(data)
-        self._hold(conn, len(data))
+        self._reserve_buffer(conn, len(data))
         feed(conn.parser, data)
         if not conn.parser.is_headers_complete():
             if conn.received_bytes > MAX_HEADER_BYTES:
                 raise MalformedMessageError(431, "the headers are too long")
             return
         if conn.length_bytes is None:
-            self._take_head(conn)
+            self._process_head(conn)
         if conn.length_bytes == 0 or conn.parser.is_message_complete():
             self._finish_request(conn)
 
-    def _hold(self, conn: ServerConn, size_bytes: int) -> None:
+    def _reserve_buffer(self, conn: ServerConn, size_bytes: int) -> None:
         if self.buffered_bytes + size_bytes > self.limits.max_buffered_bytes:
             raise MalformedMessageError(503, "this instance is out of memory for bodies")
         conn.held_bytes += size_bytes
         self.buffered_bytes += size_bytes
 
-    def _release(self, conn: ServerConn) -> None:
+    def _release_buffer(self, conn: ServerConn) -> None:
         self.buffered_bytes -= conn.held_bytes
         conn.held_bytes = 0
 
-    def _begin(self, conn: ServerConn) -> None:
+    def _begin_request(self, conn: ServerConn) -> None:
         conn.parser = HttpParser(KIND_REQUEST)
         conn.received_bytes = 0
         conn.length_bytes = None
@@ -224,7 +224,7 @@
         expire = partial(self._expire_read, conn)
         conn.deadline = self.scheduler.call_later(self.limits.read_timeout_s, expire)
 
-    def _take_head(self, conn: ServerConn) -> None:
+    def _process_head(self, conn: ServerConn) -> None:
         conn.length_bytes = check_head(conn.parser, self.limits.max_body_bytes)
         wants_continue = conn.parser.get_headers().get("Expect", "").lower() == "100-continue"
         if conn.length_bytes and wants_continue:
@@ -245,7 +245,7 @@
         self.counters.received += 1
         self.on_request(exchange)
 
-    def _after(self, delay_s: float, conn: ServerConn) -> Timer:
+    def _schedule_close(self, delay_s: float, conn: ServerConn) -> Timer:
         self.scheduler.cancel(conn.deadline)
         return self.scheduler.call_later(delay_s, partial(self._close, conn))
 
@@ -262,11 +262,11 @@
     ) -> None:
         conn.parser = None
         conn.closing = True
-        self._release(conn)
+        self._release_buffer(conn)
         self._write(conn, encode_error(status, reason, run_state))
         # What the client still sends is read and dropped for a while: closing at once would
         # reset the connection, and the client could lose the answer.
-        conn.deadline = self._after(LINGER_S, conn)
+        conn.deadline = self._schedule_close(LINGER_S, conn)
         self.scheduler.call_later(FLUSH_POLL_S, partial(self._half_close, conn))
 
     def _write(self, conn: ServerConn, data: bytes | memoryview) -> None:
--- a/packages/eelgrassdrum-daemon/tests/test_bad_input.py
+++ b/packages/eelgrassdrum-daemon/tests/test_bad_input.py
@@ -22,7 +22,7 @@
 SOCKET_TIMEOUT_S = 20.0
 MEMORY_SLACK_BYTES = 60_000_000
 FAULTS_PATH = "/faults"
-NUMBERS = itertools.count(1)
+REQUEST_NUMBERS = itertools.count(1)
 
 DOCUMENT = {
     "services": [{"name": "judging", "executors": 1, "max_unavailable": 0}],
@@ -129,7 +129,7 @@
 
 def submit(running: Running, headers: dict[str, str], body: bytes = b"entry 12") -> int:
     # A repeat of an id gets the first answer, so each request has an id of its own.
-    named = {"X-Request-Id": f"r-good-{next(NUMBERS)}", "X-Key": running.key, **headers}
+    named = {"X-Request-Id": f"r-good-{next(REQUEST_NUMBERS)}", "X-Key": running.key, **headers}
     return call(running.daemon.address, "POST", PATH, body, named).status
 
 
@@ -146,7 +146,7 @@
     return data
 
 
-def answer_to(running: Running, data: bytes) -> bytes:
+def send_raw(running: Running, data: bytes) -> bytes:
     """
     Send bytes and read until the server closes the connection.
     """
@@ -163,7 +163,7 @@
     Each malformed request gets its status as JSON and its connection closes.
     """
     for name, (data, status) in MALFORMED.items():
-        answer = answer_to(running, data)
+        answer = send_raw(running, data)
         assert answer.startswith(f"HTTP/1.1 {status} ".encode()), (name, answer)
         assert b'"run_state":"not_run"' in answer, name
     assert submit(running, {}) == 200
@@ -241,7 +241,7 @@
     wait_until(lambda: submit(running, headers, b"x" * 90_000) == 200)
 
 
-def test_rubbish_from_the_log_changes_nothing(running: Running) -> None:
+def test_malformed_log_response_changes_nothing(running: Running) -> None:
     """
     While the log answers rubbish, callers are served by what was folded, and later records take
     effect once it answers again.
@@ -254,7 +254,7 @@
     wait_until(lambda: submit(running, {"X-Key": "egd_k2_0ther"}) == 200)
 
 
-def test_records_that_are_no_records_are_passed_over(running: Running) -> None:
+def test_invalid_records_are_skipped(running: Running) -> None:
     """
     Entries of the log that no program of ours wrote are skipped.
     """
--- a/packages/eelgrassdrum-daemon/tests/test_http_pool.py
+++ b/packages/eelgrassdrum-daemon/tests/test_http_pool.py
@@ -17,7 +17,7 @@
 from eelgrassdrum_daemon._timers import Scheduler
 
 DEADLINE_S = 20.0
-SHORT_S = 0.2
+SHORT_TIMEOUT_S = 0.2
 BODY = b"entry 12, class 3"
 LARGE_BODY = bytes(range(256)) * 12_000
 ANSWER = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nContent-Length: 4\r\n\r\ndone"
@@ -73,10 +73,10 @@
         while True:
             conn, _ = listener.accept()
             script.conns += 1
-            threading.Thread(target=play, args=(conn, script), daemon=True).start()
+            threading.Thread(target=serve_scripted, args=(conn, script), daemon=True).start()
 
 
-def play(conn: socket.socket, script: Script) -> None:
+def serve_scripted(conn: socket.socket, script: Script) -> None:
     with conn, contextlib.suppress(OSError):
         while read_request(conn, script):
             answer = script.answers.pop(0) if script.answers else b""
@@ -106,13 +106,13 @@
     Send requests one after the other, and give their outcomes.
     """
     outcomes: list[HttpOutcome] = []
-    waiting = list(reqs)
+    pending = list(reqs)
 
     def send_next(outcome: HttpOutcome | None = None) -> None:
         if outcome is not None:
             outcomes.append(outcome)
-        if waiting:
-            loop.pool.submit(waiting.pop(0)(on_done=send_next))
+        if pending:
+            loop.pool.submit(pending.pop(0)(on_done=send_next))
         else:
             loop.root.stop()
 
@@ -167,13 +167,13 @@
     """
     script = Script([None, ANSWER])
     address = server(script)
-    first, second = exchange(loop, post(address, SHORT_S), post(address))
+    first, second = exchange(loop, post(address, SHORT_TIMEOUT_S), post(address))
     assert first == HttpFailure("timeout", sent=True)
     assert second.body == b"done"
     assert script.conns == 2
 
 
-def test_half_an_answer_is_no_answer(loop: Loop, server: Callable) -> None:
+def test_incomplete_response_is_a_failure(loop: Loop, server: Callable) -> None:
     """
     A connection that closes before the answer is whole gives a failure, not a short answer.
     """
@@ -189,7 +189,7 @@
     assert exchange(loop, post(address)) == [HttpFailure("malformed", sent=True)]
 
 
-def test_crossed_answer_is_dropped(loop: Loop, server: Callable) -> None:
+def test_mismatched_response_is_dropped(loop: Loop, server: Callable) -> None:
     """
     An answer that belongs to another request is counted and dropped with its connection.
     """
@@ -207,7 +207,7 @@
     assert (loop.pool.counters.mismatched, script.conns) == (1, 2)
 
 
-def test_answer_given_twice_reaches_nobody_else(loop: Loop, server: Callable) -> None:
+def test_duplicate_response_is_not_reused(loop: Loop, server: Callable) -> None:
     """
     A second copy of an answer never becomes the answer to the next request.
     """
@@ -242,11 +242,13 @@
         outcomes.append(outcome)
         loop.root.stop()
 
-    def again(outcome: HttpOutcome) -> None:
+    def resubmit(outcome: HttpOutcome) -> None:
         outcomes.append(outcome)
-        loop.scheduler.call_later(SHORT_S, lambda: loop.pool.submit(post(address)(on_done=finish)))
+        loop.scheduler.call_later(
+            SHORT_TIMEOUT_S, lambda: loop.pool.submit(post(address)(on_done=finish))
+        )
 
-    loop.scheduler.call_later(0, lambda: loop.pool.submit(post(address)(on_done=again)))
+    loop.scheduler.call_later(0, lambda: loop.pool.submit(post(address)(on_done=resubmit)))
     loop.scheduler.call_later(DEADLINE_S, loop.root.stop)
     loop.root.run()
     assert [outcome.status for outcome in outcomes] == [200, 200]
@@ -262,10 +264,10 @@
 
     def send_three() -> None:
         for _ in range(3):
-            loop.pool.submit(post(address, SHORT_S)(on_done=outcomes.append))
+            loop.pool.submit(post(address, SHORT_TIMEOUT_S)(on_done=outcomes.append))
 
     loop.scheduler.call_later(0, send_three)
-    loop.scheduler.call_later(3 * SHORT_S, loop.root.stop)
+    loop.scheduler.call_later(3 * SHORT_TIMEOUT_S, loop.root.stop)
     loop.root.run()
     assert outcomes[0] == HttpFailure("pool_full", sent=False)
     assert [outcome.reason for outcome in outcomes[1:]] == ["timeout", "timeout"]
