--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_http_server.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_http_server.py
@@ -1,9 +1,9 @@
 """
-HTTP server on circuits.web whose answers may be given later.
+HTTP server on circuits.web with asynchronous responses.
 
-The socket server, the parser and the form of answers are those of circuits. Its `HTTP` component
-is not used, because its reader sets no limit on size or time, unpacks compressed bodies without
-bound, keeps the parser of a connection that closed, and mixes up pipelined requests.
+The socket server, the parser and the response class come from circuits. Its `HTTP` component is
+not used, because it limits neither the size of a request nor the time to read it, decompresses
+bodies without a limit, keeps the parser of a closed connection, and mixes up pipelined requests.
 """
 
 import contextlib
@@ -37,7 +37,7 @@
 
 class HttpServer(BaseComponent):
     """
-    Reads requests, hands them on, and writes the answers whenever they come.
+    Reads requests, passes them to a callback, and writes responses when they are ready.
     """
 
     channel = CHANNEL
@@ -52,13 +52,13 @@
         **_options: str,
     ) -> None:
         """
-        Listen.
+        Start listening.
 
-        :param bind: address and port; port 0 lets the system choose.
-        :param scheduler: runs the deadlines.
-        :param limits: what a client may take up.
-        :param on_request: called with each whole request.
-        :param on_abandoned: called with the token of an exchange whose client is gone.
+        :param bind: address and port; port 0 selects a free port.
+        :param scheduler: runs the timeouts.
+        :param limits: resource limits of the server.
+        :param on_request: called with each complete request.
+        :param on_abandoned: called with the token of an exchange whose client disconnected.
         :param _options: the channel; servers of one process need different ones.
         """
         self.scheduler = scheduler
@@ -85,12 +85,12 @@
         self, token: int, status: int, headers: Mapping[str, str], body: bytes | str
     ) -> None:
         """
-        Answer an exchange; does nothing when its client is gone.
+        Send the response of an exchange, unless its client has disconnected.
 
-        :param token: the exchange.
+        :param token: token of the exchange.
         :param status: HTTP status.
-        :param headers: headers besides those of framing.
-        :param body: the whole body.
+        :param headers: headers besides the framing headers.
+        :param body: the complete body.
         """
         exchange = self.exchanges.pop(token, None)
         if exchange is None:
@@ -106,7 +106,8 @@
         conn.closing = res.close
         conn.deadline = self._schedule_close(IDLE_TIMEOUT_S, conn)
         data = encode_answer(res, body)
-        # An answer is never refused for want of memory; what it takes up holds back new requests.
+        # A response is never rejected for lack of memory, but its size counts against the limit
+        # for new requests.
         conn.held_bytes = len(data)
         self.buffered_bytes += len(data)
         self._write(conn, data)
@@ -116,13 +117,13 @@
     @property
     def conn_count(self) -> int:
         """
-        Open connections of clients.
+        Number of open client connections.
         """
         return len(self._conns)
 
     def close_after_answers(self) -> None:
         """
-        Close each connection after its next answer.
+        Close each connection after its next response.
         """
         self._is_closing = True
         for conn in self._conns.values():
@@ -130,18 +131,18 @@
 
     def stop_listening(self) -> None:
         """
-        Take no new connections, and close those that wait for no answer.
+        Stop accepting connections, and close the idle ones.
         """
         self.close_after_answers()
         listener = self._tcp._sock
         if listener is not None and not self._has_stopped_listening:
             self._has_stopped_listening = True
             self._tcp._poller.discard(listener)
-            # An event that says that a client waits may be queued already.
+            # An event for a pending client connection may already be queued.
             self.scheduler.call_later(FLUSH_POLL_S, partial(self._tcp._close, listener))
         for conn in list(self._conns.values()):
             if conn.token is None and conn.parser is None:
-                # What was written but not yet sent goes out first.
+                # The `close` event lets buffered data be sent first.
                 self.fire(close(conn.sock))
 
     @handler("connect")
@@ -177,8 +178,8 @@
         if conn is None or conn.closing:
             return
         if conn.token is not None:
-            # A pipelined request is not run: the client sees the connection close after the
-            # answer that it waits for, and may send the request again.
+            # A pipelined request is not run: the connection closes after the pending response, and
+            # the client may retry the request.
             conn.close_after = True
             return
         try:
@@ -187,7 +188,7 @@
             self.counters.malformed += 1
             self._reject(conn, exc.status, exc.reason)
         except Exception:
-            # The request may have been dispatched before the fault showed.
+            # The request may have been dispatched before the error occurred.
             self._reject(conn, 500, "internal error", refusals.UNKNOWN)
             raise
 
@@ -264,14 +265,14 @@
         conn.closing = True
         self._release_buffer(conn)
         self._write(conn, encode_error(status, reason, run_state))
-        # What the client still sends is read and dropped for a while: closing at once would
-        # reset the connection, and the client could lose the answer.
+        # Lingering close: remaining input is read and discarded for a while, because closing at
+        # once would reset the connection, and the client could lose the response.
         conn.deadline = self._schedule_close(LINGER_S, conn)
         self.scheduler.call_later(FLUSH_POLL_S, partial(self._half_close, conn))
 
     def _write(self, conn: ServerConn, data: bytes | memoryview) -> None:
-        # The socket may be closed while the event that says so is still queued. Writing to it
-        # would leave it in the poller's lists for good.
+        # The socket may be closed while its disconnect event is still queued. Writing to it would
+        # leave it registered with the poller forever.
         if conn.sock.fileno() >= 0:
             self._tcp.write(conn.sock, data)
 
@@ -286,5 +287,5 @@
 
     def _close(self, conn: ServerConn) -> None:
         conn.closing = True
-        # Firing `close` would wait for a client that never reads what was written to it.
+        # The `close` event would wait forever for a client that does not read its responses.
         self._tcp._close(conn.sock)
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_request_head.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_request_head.py
@@ -1,5 +1,5 @@
 """
-First line and headers of a client's request.
+Request line and headers of a client's request.
 """
 
 import re
@@ -19,10 +19,10 @@
 
 class RequestHead(msgspec.Struct, eq=False):
     """
-    What the answer of circuits needs to know of a request.
+    The attributes of a request that the circuits `Response` reads.
 
-    The request of circuits parses the URL twice and the cookies, which cost an eighth of the
-    time that a request took here.
+    It replaces the circuits `Request`, which parses the URL twice and also the cookies; this took
+    an eighth of the processing time of a request.
 
     :param sock: the client's connection.
     :param method: HTTP method.
@@ -30,8 +30,8 @@
     :param qs: the query.
     :param protocol: HTTP version.
     :param headers: the headers.
-    :param server: the server that the request came to.
-    :param cookie: cookies of the answer.
+    :param server: the server that received the request.
+    :param cookie: cookies of the response.
     """
 
     sock: socket.socket
@@ -46,12 +46,12 @@
 
 def check_head(parser: HttpParser, max_body_bytes: int) -> int:
     """
-    Check a request whose headers are complete.
+    Validate a request whose headers are complete.
 
-    :param parser: the parser that has read them.
-    :param max_body_bytes: largest body taken.
-    :returns: length of the body in bytes.
-    :raises MalformedMessageError: when the request cannot be taken.
+    :param parser: the parser that read them.
+    :param max_body_bytes: maximum size of a body.
+    :returns: the length of the body in bytes.
+    :raises MalformedMessageError: if the request cannot be accepted.
     """
     headers = parser.get_headers()
     check_values(headers)
@@ -73,11 +73,11 @@
 
 def build_request(sock: socket.socket, parser: HttpParser, server: TCPServer) -> RequestHead:
     """
-    Take over what the parser has read.
+    Build a request from a parser's results.
 
     :param sock: the client's connection.
-    :param parser: the parser that has read it.
-    :param server: the server that the request came to.
+    :param parser: the parser that read the request.
+    :param server: the server that received the request.
     :returns: the request.
     """
     return RequestHead(
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_server_answers.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_server_answers.py
@@ -1,5 +1,5 @@
 """
-Answers that the daemon itself gives to callers and operators.
+Responses that the daemon itself sends to callers and operators.
 """
 
 import math
@@ -39,12 +39,12 @@
 
 def encode_answer(res: Response, body: bytes) -> bytes | memoryview:
     """
-    Give a whole answer as sent.
+    Encode a complete response.
 
-    :param res: its status and headers.
-    :param body: its body.
-    :returns: the bytes; a large answer as a view, of which the socket server can send a part
-        without copying the rest.
+    :param res: the status and headers.
+    :param body: the body.
+    :returns: the bytes; a large response as a memoryview, so that the socket server can send a
+        part without copying the rest.
     """
     res.body = body
     res.prepare()
@@ -54,11 +54,11 @@
 
 def encode_error(status: int, message: str, run_state: refusals.RunState) -> bytes:
     """
-    Give a whole answer to a message that cannot be read, after which the connection closes.
+    Encode the response to an invalid request, after which the connection is closed.
 
     :param status: HTTP status.
-    :param message: text for people.
-    :param run_state: whether the request certainly did not run.
+    :param message: human-readable message.
+    :param run_state: whether it is certain that the request did not run.
     :returns: the bytes to send.
     """
     body = encode_json(
@@ -77,7 +77,7 @@
 
 def refusal_headers(refusal: refusals.Refusal, request_id: str) -> Mapping[str, str]:
     """
-    Give the headers of a refusal.
+    Return the headers of a refusal.
 
     :param refusal: the refusal.
     :param request_id: the caller's id of the request.
@@ -89,14 +89,14 @@
         "X-Run-State": refusal.code.run_state,
     }
     if refusal.retry_after_s is not None:
-        # The header takes whole seconds only; the body has the exact figure.
+        # Retry-After allows whole seconds only; the body has the exact value.
         headers["Retry-After"] = str(math.ceil(refusal.retry_after_s))
     return headers
 
 
 def refusal_body(refusal: refusals.Refusal, request_id: str) -> bytes:
     """
-    Give the JSON body of a refusal.
+    Encode the JSON body of a refusal.
 
     :param refusal: the refusal.
     :param request_id: the caller's id of the request.
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_server_state.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_server_state.py
@@ -14,11 +14,11 @@
 
 class Exchange(msgspec.Struct, eq=False):
     """
-    A whole request of a client, and the answer that it waits for.
+    A complete request of a client, and its pending response.
 
-    :param token: its number, unique in this process.
-    :param req: the request's first line and headers.
-    :param res: the answer to be.
+    :param token: identifier of the exchange, unique in this process.
+    :param req: the request line and headers.
+    :param res: the pending response.
     :param body: the request's body.
     """
 
@@ -30,7 +30,7 @@
 
 class ServerConn(msgspec.Struct, eq=False):
     """
-    One connection of a client.
+    A client connection.
     """
 
     sock: socket.socket
@@ -46,12 +46,12 @@
 
 class ServerLimits(msgspec.Struct, frozen=True):
     """
-    What a client may take up.
+    Resource limits of the server.
 
-    :param max_body_bytes: largest body.
-    :param read_timeout_s: seconds for a whole request to arrive.
-    :param max_conns: most open connections.
-    :param max_buffered_bytes: requests held in all, whole or in part.
+    :param max_body_bytes: maximum size of a request body.
+    :param read_timeout_s: timeout in seconds for receiving a complete request.
+    :param max_conns: maximum number of open connections.
+    :param max_buffered_bytes: maximum total size of buffered requests, complete or partial.
     """
 
     max_body_bytes: int = 16 * 1024 * 1024
@@ -62,7 +62,7 @@
 
 class ServerCounters(msgspec.Struct):
     """
-    What the server has done since the start.
+    Counters of the server since process start.
     """
 
     accepted: int = 0
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/http.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/http.py
@@ -1,6 +1,5 @@
 """
-HTTP on circuits: a pool of client connections with deadlines, and a server whose answers may be
-given later.
+HTTP on circuits: a client connection pool with timeouts, and a server with asynchronous responses.
 """
 
 from ._http_messages import ClientRequest, HttpAnswer, HttpFailure, HttpOutcome
--- a/packages/eelgrassdrum-daemon/tests/test_bad_input.py
+++ b/packages/eelgrassdrum-daemon/tests/test_bad_input.py
@@ -1,5 +1,5 @@
 """
-Bad input of every kind: each gets a clear error, and the daemon keeps serving.
+Invalid input is rejected with a specific error, and the daemon keeps serving.
 """
 
 import contextlib
@@ -43,7 +43,7 @@
 HEAD = f"POST {PATH} HTTP/1.1\r\nHost: entry\r\nX-Request-Id: r1\r\n".encode()
 GZIP_BOMB_HEAD = HEAD + b"Content-Encoding: gzip\r\nContent-Length: 10\r\n\r\n0123456789"
 
-# Bytes of a whole request, and the status that it gets before the connection closes.
+# Bytes of a request, and the status of the response before the connection closes.
 MALFORMED: dict[str, tuple[bytes, int]] = {
     "no HTTP": (b"dahlias, class 7\r\n\r\n", 400),
     "TLS handshake": (
@@ -71,7 +71,7 @@
     "declared huge body": (HEAD + b"Content-Length: 99999999\r\n\r\n", 413),
 }
 
-# Headers of a well-formed request, and the error that it gets.
+# Headers of a well-formed request, and the status and error name of the response.
 REFUSED: dict[str, tuple[dict[str, str], int, str]] = {
     "no request id": ({"X-Key": "egd_k1_s3cret"}, 400, "bad_request"),
     "request id with a space": ({"X-Request-Id": "a b"}, 400, "bad_request"),
@@ -93,7 +93,7 @@
 
 class Running(NamedTuple):
     """
-    The processes and a granted key.
+    The running processes and a granted key.
     """
 
     platform: fleet.Platform
@@ -128,7 +128,7 @@
 
 
 def submit(running: Running, headers: dict[str, str], body: bytes = b"entry 12") -> int:
-    # A repeat of an id gets the first answer, so each request has an id of its own.
+    # A repeated request id gets the first response, so each request uses a new id.
     named = {"X-Request-Id": f"r-good-{next(REQUEST_NUMBERS)}", "X-Key": running.key, **headers}
     return call(running.daemon.address, "POST", PATH, body, named).status
 
@@ -160,7 +160,7 @@
 
 def test_malformed_http_is_answered_and_closed(running: Running) -> None:
     """
-    Each malformed request gets its status as JSON and its connection closes.
+    Each malformed request gets a JSON error with its status, and its connection closes.
     """
     for name, (data, status) in MALFORMED.items():
         answer = send_raw(running, data)
@@ -171,7 +171,7 @@
 
 def test_bad_headers_are_refused_by_name(running: Running) -> None:
     """
-    Each well-formed request that cannot be taken is refused as not run, with its error's name.
+    Each well-formed but invalid request is rejected as not run, with its error name.
     """
     for name, (headers, status, error) in REFUSED.items():
         answer = call(running.daemon.address, "POST", PATH, b"entry 12", headers)
@@ -182,7 +182,7 @@
 
 def test_withdrawn_key_is_refused(running: Running) -> None:
     """
-    A withdrawn key gets 401 once the record is folded, and stays refused after a new grant.
+    A withdrawn key gets 401 once the record is applied, and stays refused after a new grant.
     """
     fleet.withdraw_key(running.writer, "show", "k1")
     wait_until(lambda: submit(running, {}) == 401)
@@ -194,7 +194,7 @@
 
 def test_slow_requests_time_out(running: Running) -> None:
     """
-    Headers or a body that stop half-way get 408, and others are served meanwhile.
+    Incomplete headers or bodies get 408, and other requests are served meanwhile.
     """
     for part in (HEAD, HEAD + b"Content-Length: 100\r\n\r\nhalf"):
         with open_socket(running) as conn:
@@ -205,7 +205,7 @@
 
 def test_dripping_body_times_out(running: Running) -> None:
     """
-    A byte now and then does not keep a request open past the time for the whole of it.
+    Single bytes sent at intervals do not extend the read timeout of a request.
     """
     with open_socket(running) as conn:
         conn.sendall(HEAD + b"Content-Length: 100\r\n\r\n")
@@ -222,8 +222,8 @@
 
 def test_many_half_bodies_take_bounded_memory(running: Running) -> None:
     """
-    Bodies held in part count against the bound: beyond it requests get 503, and memory is given
-    back when they time out.
+    Incomplete bodies count against the buffer limit: requests beyond it get 503, and the memory
+    is released when they time out.
     """
     process = psutil.Process(running.daemon.pid)
     before_bytes = process.memory_info().rss
@@ -243,8 +243,8 @@
 
 def test_malformed_log_response_changes_nothing(running: Running) -> None:
     """
-    While the log answers rubbish, callers are served by what was folded, and later records take
-    effect once it answers again.
+    While the log returns malformed responses, callers are served from the applied records, and
+    later records take effect once the log recovers.
     """
     log = running.platform.log.address
     call(log, "POST", FAULTS_PATH, {"rubbish": True})
@@ -256,7 +256,7 @@
 
 def test_invalid_records_are_skipped(running: Running) -> None:
     """
-    Entries of the log that no program of ours wrote are skipped.
+    Log entries written by foreign programs that are not valid records are skipped.
     """
     junk = [{"id": "x"}, {"kind": 7}, {}]
     answer = call(running.platform.log.address, "POST", fleet.RECORDS_PATH, junk)
--- a/packages/eelgrassdrum-daemon/tests/test_http_pool.py
+++ b/packages/eelgrassdrum-daemon/tests/test_http_pool.py
@@ -1,5 +1,5 @@
 """
-Client connections against a server that misbehaves as told.
+Tests of the HTTP pool against a server with scripted faults.
 """
 
 import contextlib
@@ -25,7 +25,7 @@
 
 class Loop(msgspec.Struct):
     """
-    An event loop with a pool in it.
+    An event loop and its connection pool.
     """
 
     root: Component
@@ -35,9 +35,9 @@
 
 class Script(msgspec.Struct):
     """
-    What the server does, and what it saw.
+    Scripted responses of the server, and what it received.
 
-    :param answers: bytes for each request in turn; ``None`` keeps silent.
+    :param answers: bytes sent for each request in turn; ``None`` sends no response.
     """
 
     answers: list[bytes | None]
@@ -103,7 +103,7 @@
 
 def exchange(loop: Loop, *reqs: Callable[..., ClientRequest]) -> list[HttpOutcome]:
     """
-    Send requests one after the other, and give their outcomes.
+    Send requests sequentially, and return their outcomes.
     """
     outcomes: list[HttpOutcome] = []
     pending = list(reqs)
@@ -134,7 +134,7 @@
 
 def test_connection_is_used_again(loop: Loop, server: Callable) -> None:
     """
-    Two requests in turn share one connection, and each gets its own answer.
+    Two sequential requests share one connection, and each gets its own response.
     """
     script = Script([ANSWER, ANSWER.replace(b"done", b"next")])
     address = server(script)
@@ -145,7 +145,7 @@
 
 def test_large_body_arrives_whole(loop: Loop, server: Callable) -> None:
     """
-    A body larger than the socket's buffers arrives byte for byte.
+    A body larger than the socket buffers arrives unchanged.
     """
     script = Script([ANSWER])
     exchange(loop, post(server(script), body=LARGE_BODY))
@@ -154,7 +154,7 @@
 
 def test_refused_connect_has_sent_nothing(loop: Loop) -> None:
     """
-    When nobody listens, the failure says that no byte was sent.
+    A refused connect fails with ``sent=False``.
     """
     with socket.create_server(("127.0.0.1", 0)) as unused:
         address = f"127.0.0.1:{unused.getsockname()[1]}"
@@ -163,7 +163,7 @@
 
 def test_silent_server_fails_at_the_deadline(loop: Loop, server: Callable) -> None:
     """
-    A request without an answer fails as sent, and the next one gets a new connection.
+    A request that times out fails as sent, and the next one uses a new connection.
     """
     script = Script([None, ANSWER])
     address = server(script)
@@ -175,7 +175,7 @@
 
 def test_incomplete_response_is_a_failure(loop: Loop, server: Callable) -> None:
     """
-    A connection that closes before the answer is whole gives a failure, not a short answer.
+    A connection closed before the response is complete is a failure, not a short response.
     """
     address = server(Script([ANSWER[:-2]], close_after=True))
     assert exchange(loop, post(address)) == [HttpFailure("closed", sent=True)]
@@ -183,7 +183,7 @@
 
 def test_answer_without_a_length_is_refused(loop: Loop, server: Callable) -> None:
     """
-    An answer that ends only with its connection can't be told from a cut one, so it is malformed.
+    A response delimited by connection close may be truncated, so it is malformed.
     """
     address = server(Script([b"HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\n\r\ndone"], close_after=True))
     assert exchange(loop, post(address)) == [HttpFailure("malformed", sent=True)]
@@ -191,7 +191,7 @@
 
 def test_mismatched_response_is_dropped(loop: Loop, server: Callable) -> None:
     """
-    An answer that belongs to another request is counted and dropped with its connection.
+    A response to another request is counted, and dropped together with its connection.
     """
 
     def is_expected(answer: HttpAnswer) -> bool:
@@ -209,7 +209,7 @@
 
 def test_duplicate_response_is_not_reused(loop: Loop, server: Callable) -> None:
     """
-    A second copy of an answer never becomes the answer to the next request.
+    A duplicate response is never returned for the next request.
     """
     script = Script([ANSWER + ANSWER, ANSWER.replace(b"done", b"next")])
     address = server(script)
@@ -220,7 +220,7 @@
 
 def test_chunked_answer_in_small_parts_is_whole(loop: Loop, server: Callable) -> None:
     """
-    A chunked answer is put together whatever its parts are.
+    A chunked response is reassembled from its chunks.
     """
     answer = (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -232,7 +232,7 @@
 
 def test_closed_idle_connection_is_not_used(loop: Loop, server: Callable) -> None:
     """
-    A connection that the server closed while idle is replaced, and the request is answered.
+    A connection closed by the server while idle is replaced, and the request succeeds.
     """
     script = Script([ANSWER, ANSWER], close_after=True)
     address = server(script)
@@ -257,7 +257,7 @@
 
 def test_connections_to_an_address_are_bounded(loop: Loop, server: Callable) -> None:
     """
-    A request beyond the most connections fails at once with nothing sent.
+    A request beyond the connection limit fails immediately with ``sent=False``.
     """
     address = server(Script([None, None, None]))
     outcomes: list[HttpOutcome] = []
@@ -275,7 +275,8 @@
 
 def test_header_with_an_escaped_line_break_is_not_passed_on(loop: Loop, server: Callable) -> None:
     """
-    An answer whose header would break the caller's answer in two is malformed.
+    A response header with an escaped line break, which would split the caller's response, is
+    malformed.
     """
     answer = ANSWER.replace(b"a1", b"a1\\r\\nX-Key: x")
     assert exchange(loop, post(server(Script([answer])))) == [HttpFailure("malformed", sent=True)]
@@ -283,7 +284,7 @@
 
 def test_too_large_answer_is_given_up(loop: Loop, server: Callable) -> None:
     """
-    An answer beyond the largest size fails, and its bytes no longer count as held.
+    A response beyond the size limit fails, and its bytes no longer count as buffered.
     """
     loop.pool.max_answer_bytes = 100_000
     answer = ANSWER.replace(b"Content-Length: 4", b"Content-Length: 300000") + b"x" * 299_996
