--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_http_pool.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_http_pool.py
@@ -1,9 +1,9 @@
 """
 Pool of HTTP/1.1 client connections with deadlines.
 
-The circuits HTTP client holds one connection, sends in series, has no deadline, and waits for a
-connect by polling. Here non-blocking sockets are registered with the circuits poller instead, and
-answers are read by the circuits parser.
+The circuits HTTP client uses a single connection, sends requests serially, has no timeout, and
+polls for a connect to complete. This pool registers non-blocking sockets with the circuits poller
+instead, and parses responses with the circuits parser.
 """
 
 import socket
@@ -35,9 +35,9 @@
 
 class HttpPool(BaseComponent):
     """
-    Sends requests over connections that are kept and used again.
+    Sends requests over persistent connections that are reused.
 
-    Every request ends in exactly one call of its ``on_done``: with a whole answer or with a
+    ``on_done`` of each request is called exactly once: with a complete response, or with a
     failure that says whether any byte of the request may have been sent.
     """
 
@@ -53,13 +53,14 @@
         **_options: str,
     ) -> None:
         """
-        Make an empty pool.
+        Create an empty pool.
 
         :param poller: the poller of the event loop.
-        :param scheduler: runs the deadlines.
-        :param conns_per_address: most connections to one address.
-        :param max_answer_bytes: larger answers are failures.
-        :param max_buffered_bytes: answers held in part; those beyond are failures.
+        :param scheduler: runs the request timeouts.
+        :param conns_per_address: maximum number of connections to one address.
+        :param max_answer_bytes: maximum size of a response; a larger one fails its request.
+        :param max_buffered_bytes: maximum total size of incomplete responses; a request
+            whose response exceeds it fails.
         """
         self.poller = poller
         self.scheduler = scheduler
@@ -77,9 +78,9 @@
         Send a request.
 
         :param req: the request.
-        :returns: the connection, for `abort`, or ``None`` when the request has failed already.
+        :returns: the connection, for `abort`, or ``None`` if the request has already failed.
         """
-        conn = self._take_idle(req.address) or self._open(req)
+        conn = self._reuse_idle(req.address) or self._open(req)
         if conn is None:
             return None
         conn.req = req
@@ -91,15 +92,15 @@
         expire = partial(self._fail, conn, "timeout")
         conn.deadline = self.scheduler.call_later(req.timeout_s, expire)
         if not conn.connecting:
-            self._write_some(conn)
+            self._write_pending(conn)
         return conn
 
     def abort(self, conn: ClientConn, reason: str = "aborted") -> None:
         """
-        Give up on the request of a connection, and close it.
+        Fail the request in flight on a connection, and close the connection.
 
         :param conn: the connection.
-        :param reason: what its failure says.
+        :param reason: reason of the reported failure.
         """
         if conn.req is not None:
             self._fail(conn, reason)
@@ -113,7 +114,7 @@
         for conn in list(self._idle.pop(address, ())):
             self._close(conn)
 
-    def _take_idle(self, address: str) -> ClientConn | None:
+    def _reuse_idle(self, address: str) -> ClientConn | None:
         idle = self._idle.get(address)
         while idle:
             conn = idle.pop()
@@ -140,7 +141,7 @@
         self._conns[sock] = conn
         self._open_conns[req.address] += 1
         self.counters.opened += 1
-        self._want_write(conn)
+        self._register_writer(conn)
         return conn
 
     @handler("_write")
@@ -150,7 +151,7 @@
             return
         if conn.connecting and not self._finish_connect(conn):
             return
-        self._write_some(conn)
+        self._write_pending(conn)
 
     @handler("_read")
     def _on_readable(self, sock):
@@ -158,7 +159,7 @@
         if conn is None:
             return
         if conn.req is None:
-            self._drop_idle(conn)
+            self._close_idle(conn)
             return
         try:
             data = sock.recv(READ_BYTES)
@@ -167,7 +168,7 @@
         except OSError:
             data = b""
         if data:
-            self._take_data(conn, data)
+            self._receive_data(conn, data)
         else:
             self._fail(conn, "closed")
 
@@ -177,7 +178,7 @@
         if conn is None:
             return
         if conn.req is None:
-            self._drop_idle(conn)
+            self._close_idle(conn)
         else:
             self._fail(conn, "connect" if conn.connecting else "closed")
 
@@ -189,12 +190,12 @@
         self.poller.addReader(self, conn.sock)
         return True
 
-    def _write_some(self, conn: ClientConn) -> None:
+    def _write_pending(self, conn: ClientConn) -> None:
         while conn.out:
             try:
                 sent = conn.sock.send(conn.out[0])
             except BlockingIOError:
-                self._want_write(conn)
+                self._register_writer(conn)
                 return
             except OSError:
                 self._fail(conn, "closed")
@@ -208,12 +209,12 @@
             conn.writing = False
             self.poller.removeWriter(conn.sock)
 
-    def _want_write(self, conn: ClientConn) -> None:
+    def _register_writer(self, conn: ClientConn) -> None:
         if not conn.writing:
             conn.writing = True
             self.poller.addWriter(self, conn.sock)
 
-    def _take_data(self, conn: ClientConn, data: bytes) -> None:
+    def _receive_data(self, conn: ClientConn, data: bytes) -> None:
         conn.received_bytes += len(data)
         self.buffered_bytes += len(data)
         is_over = self.buffered_bytes > self.max_buffered_bytes
@@ -223,11 +224,11 @@
         try:
             feed(conn.parser, data)
             if conn.parser.is_headers_complete():
-                self._take_answer(conn)
+                self._handle_response(conn)
         except MalformedMessageError:
             self._fail(conn, "malformed")
 
-    def _take_answer(self, conn: ClientConn) -> None:
+    def _handle_response(self, conn: ClientConn) -> None:
         parser = conn.parser
         status = parser.get_status_code()
         length = 0 if status in BODILESS_STATUSES else framing(parser).length_bytes
@@ -247,9 +248,9 @@
     def _finish(self, conn: ClientConn, answer: HttpAnswer) -> None:
         req, conn.req = conn.req, None
         self.scheduler.cancel(conn.deadline)
-        self._release(conn)
+        self._release_buffer(conn)
         idle = self._idle[conn.address]
-        # An answer that came before the whole request was sent leaves the connection out of step.
+        # A response to a partly sent request leaves the connection out of sync.
         reusable = not conn.out and conn.parser.should_keep_alive()
         if reusable and len(idle) < IDLE_CONNS_PER_ADDRESS:
             conn.idle_since_s = self.scheduler.clock()
@@ -265,16 +266,16 @@
         if req is None:
             return
         if reason == "timeout":
-            # Whatever lost track of this connection may have lost the idle ones as well.
+            # Whatever dropped the state of this connection may have dropped that of idle ones too.
             self.close_address(conn.address)
         self.counters.failed += 1
         req.on_done(HttpFailure(reason, sent=conn.sent_bytes > 0))
 
-    def _release(self, conn: ClientConn) -> None:
+    def _release_buffer(self, conn: ClientConn) -> None:
         self.buffered_bytes -= conn.received_bytes
         conn.received_bytes = 0
 
-    def _drop_idle(self, conn: ClientConn) -> None:
+    def _close_idle(self, conn: ClientConn) -> None:
         idle = self._idle.get(conn.address)
         if idle and conn in idle:
             idle.remove(conn)
@@ -284,7 +285,7 @@
         if self._conns.pop(conn.sock, None) is None:
             return
         self.scheduler.cancel(conn.deadline)
-        self._release(conn)
+        self._release_buffer(conn)
         self._open_conns[conn.address] -= 1
         if not self._open_conns[conn.address]:
             del self._open_conns[conn.address]
--- a/packages/eelgrassdrum-daemon/tests/test_http_pool.py
+++ b/packages/eelgrassdrum-daemon/tests/test_http_pool.py
@@ -1,5 +1,5 @@
 """
-Client connections against a server that misbehaves as told.
+Tests of the HTTP pool against a server with scripted faults.
 """
 
 import contextlib
@@ -17,7 +17,7 @@
 from eelgrassdrum_daemon._timers import Scheduler
 
 DEADLINE_S = 20.0
-SHORT_S = 0.2
+SHORT_TIMEOUT_S = 0.2
 BODY = b"entry 12, class 3"
 LARGE_BODY = bytes(range(256)) * 12_000
 ANSWER = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nContent-Length: 4\r\n\r\ndone"
@@ -25,7 +25,7 @@
 
 class Loop(msgspec.Struct):
     """
-    An event loop with a pool in it.
+    An event loop and its connection pool.
     """
 
     root: Component
@@ -35,9 +35,9 @@
 
 class Script(msgspec.Struct):
     """
-    What the server does, and what it saw.
+    Scripted responses of the server, and what it received.
 
-    :param answers: bytes for each request in turn; ``None`` keeps silent.
+    :param answers: bytes sent for each request in turn; ``None`` sends no response.
     """
 
     answers: list[bytes | None]
@@ -73,10 +73,10 @@
         while True:
             conn, _ = listener.accept()
             script.conns += 1
-            threading.Thread(target=play, args=(conn, script), daemon=True).start()
+            threading.Thread(target=serve_scripted, args=(conn, script), daemon=True).start()
 
 
-def play(conn: socket.socket, script: Script) -> None:
+def serve_scripted(conn: socket.socket, script: Script) -> None:
     with conn, contextlib.suppress(OSError):
         while read_request(conn, script):
             answer = script.answers.pop(0) if script.answers else b""
@@ -103,16 +103,16 @@
 
 def exchange(loop: Loop, *reqs: Callable[..., ClientRequest]) -> list[HttpOutcome]:
     """
-    Send requests one after the other, and give their outcomes.
+    Send requests sequentially, and return their outcomes.
     """
     outcomes: list[HttpOutcome] = []
-    waiting = list(reqs)
+    pending = list(reqs)
 
     def send_next(outcome: HttpOutcome | None = None) -> None:
         if outcome is not None:
             outcomes.append(outcome)
-        if waiting:
-            loop.pool.submit(waiting.pop(0)(on_done=send_next))
+        if pending:
+            loop.pool.submit(pending.pop(0)(on_done=send_next))
         else:
             loop.root.stop()
 
@@ -134,7 +134,7 @@
 
 def test_connection_is_used_again(loop: Loop, server: Callable) -> None:
     """
-    Two requests in turn share one connection, and each gets its own answer.
+    Two sequential requests share one connection, and each gets its own response.
     """
     script = Script([ANSWER, ANSWER.replace(b"done", b"next")])
     address = server(script)
@@ -145,7 +145,7 @@
 
 def test_large_body_arrives_whole(loop: Loop, server: Callable) -> None:
     """
-    A body larger than the socket's buffers arrives byte for byte.
+    A body larger than the socket buffers arrives unchanged.
     """
     script = Script([ANSWER])
     exchange(loop, post(server(script), body=LARGE_BODY))
@@ -154,7 +154,7 @@
 
 def test_refused_connect_has_sent_nothing(loop: Loop) -> None:
     """
-    When nobody listens, the failure says that no byte was sent.
+    A refused connect fails with ``sent=False``.
     """
     with socket.create_server(("127.0.0.1", 0)) as unused:
         address = f"127.0.0.1:{unused.getsockname()[1]}"
@@ -163,19 +163,19 @@
 
 def test_silent_server_fails_at_the_deadline(loop: Loop, server: Callable) -> None:
     """
-    A request without an answer fails as sent, and the next one gets a new connection.
+    A request that times out fails as sent, and the next one uses a new connection.
     """
     script = Script([None, ANSWER])
     address = server(script)
-    first, second = exchange(loop, post(address, SHORT_S), post(address))
+    first, second = exchange(loop, post(address, SHORT_TIMEOUT_S), post(address))
     assert first == HttpFailure("timeout", sent=True)
     assert second.body == b"done"
     assert script.conns == 2
 
 
-def test_half_an_answer_is_no_answer(loop: Loop, server: Callable) -> None:
+def test_incomplete_response_is_a_failure(loop: Loop, server: Callable) -> None:
     """
-    A connection that closes before the answer is whole gives a failure, not a short answer.
+    A connection closed before the response is complete is a failure, not a short response.
     """
     address = server(Script([ANSWER[:-2]], close_after=True))
     assert exchange(loop, post(address)) == [HttpFailure("closed", sent=True)]
@@ -183,15 +183,15 @@
 
 def test_answer_without_a_length_is_refused(loop: Loop, server: Callable) -> None:
     """
-    An answer that ends only with its connection can't be told from a cut one, so it is malformed.
+    A response delimited by connection close may be truncated, so it is malformed.
     """
     address = server(Script([b"HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\n\r\ndone"], close_after=True))
     assert exchange(loop, post(address)) == [HttpFailure("malformed", sent=True)]
 
 
-def test_crossed_answer_is_dropped(loop: Loop, server: Callable) -> None:
+def test_mismatched_response_is_dropped(loop: Loop, server: Callable) -> None:
     """
-    An answer that belongs to another request is counted and dropped with its connection.
+    A response to another request is counted, and dropped together with its connection.
     """
 
     def is_expected(answer: HttpAnswer) -> bool:
@@ -207,9 +207,9 @@
     assert (loop.pool.counters.mismatched, script.conns) == (1, 2)
 
 
-def test_answer_given_twice_reaches_nobody_else(loop: Loop, server: Callable) -> None:
+def test_duplicate_response_is_not_reused(loop: Loop, server: Callable) -> None:
     """
-    A second copy of an answer never becomes the answer to the next request.
+    A duplicate response is never returned for the next request.
     """
     script = Script([ANSWER + ANSWER, ANSWER.replace(b"done", b"next")])
     address = server(script)
@@ -220,7 +220,7 @@
 
 def test_chunked_answer_in_small_parts_is_whole(loop: Loop, server: Callable) -> None:
     """
-    A chunked answer is put together whatever its parts are.
+    A chunked response is reassembled from its chunks.
     """
     answer = (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -232,7 +232,7 @@
 
 def test_closed_idle_connection_is_not_used(loop: Loop, server: Callable) -> None:
     """
-    A connection that the server closed while idle is replaced, and the request is answered.
+    A connection closed by the server while idle is replaced, and the request succeeds.
     """
     script = Script([ANSWER, ANSWER], close_after=True)
     address = server(script)
@@ -242,11 +242,13 @@
         outcomes.append(outcome)
         loop.root.stop()
 
-    def again(outcome: HttpOutcome) -> None:
+    def resubmit(outcome: HttpOutcome) -> None:
         outcomes.append(outcome)
-        loop.scheduler.call_later(SHORT_S, lambda: loop.pool.submit(post(address)(on_done=finish)))
+        loop.scheduler.call_later(
+            SHORT_TIMEOUT_S, lambda: loop.pool.submit(post(address)(on_done=finish))
+        )
 
-    loop.scheduler.call_later(0, lambda: loop.pool.submit(post(address)(on_done=again)))
+    loop.scheduler.call_later(0, lambda: loop.pool.submit(post(address)(on_done=resubmit)))
     loop.scheduler.call_later(DEADLINE_S, loop.root.stop)
     loop.root.run()
     assert [outcome.status for outcome in outcomes] == [200, 200]
@@ -255,17 +257,17 @@
 
 def test_connections_to_an_address_are_bounded(loop: Loop, server: Callable) -> None:
     """
-    A request beyond the most connections fails at once with nothing sent.
+    A request beyond the connection limit fails immediately with ``sent=False``.
     """
     address = server(Script([None, None, None]))
     outcomes: list[HttpOutcome] = []
 
     def send_three() -> None:
         for _ in range(3):
-            loop.pool.submit(post(address, SHORT_S)(on_done=outcomes.append))
+            loop.pool.submit(post(address, SHORT_TIMEOUT_S)(on_done=outcomes.append))
 
     loop.scheduler.call_later(0, send_three)
-    loop.scheduler.call_later(3 * SHORT_S, loop.root.stop)
+    loop.scheduler.call_later(3 * SHORT_TIMEOUT_S, loop.root.stop)
     loop.root.run()
     assert outcomes[0] == HttpFailure("pool_full", sent=False)
     assert [outcome.reason for outcome in outcomes[1:]] == ["timeout", "timeout"]
@@ -273,7 +275,8 @@
 
 def test_header_with_an_escaped_line_break_is_not_passed_on(loop: Loop, server: Callable) -> None:
     """
-    An answer whose header would break the caller's answer in two is malformed.
+    A response header with an escaped line break, which would split the caller's response, is
+    malformed.
     """
     answer = ANSWER.replace(b"a1", b"a1\\r\\nX-Key: x")
     assert exchange(loop, post(server(Script([answer])))) == [HttpFailure("malformed", sent=True)]
@@ -281,7 +284,7 @@
 
 def test_too_large_answer_is_given_up(loop: Loop, server: Callable) -> None:
     """
-    An answer beyond the largest size fails, and its bytes no longer count as held.
+    A response beyond the size limit fails, and its bytes no longer count as buffered.
     """
     loop.pool.max_answer_bytes = 100_000
     answer = ANSWER.replace(b"Content-Length: 4", b"Content-Length: 300000") + b"x" * 299_996
