--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_logging.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_logging.py
@@ -1,5 +1,5 @@
 """
-The structured log: JSON lines by eliot.
+Structured logging: JSON lines written by eliot.
 """
 
 import contextlib
@@ -15,7 +15,7 @@
 @contextlib.contextmanager
 def open_log(file: str) -> Iterator[None]:
     """
-    Have eliot write to a file until the context ends.
+    Send eliot's output to a file until the context exits.
 
     :param file: a path, or ``-`` for standard error.
     """
@@ -30,12 +30,12 @@
 
 def make_writer(instance: str, zone: str) -> Write:
     """
-    Give the function that writes one line.
+    Build the function that writes one log line.
 
-    :param instance: id of this instance, part of every line.
-    :param zone: its availability zone, part of every line.
-    :returns: a function that takes the action and more fields, which are written as one object so
-        that they cannot clash with those of the line; it must be given no secrets.
+    :param instance: id of this instance, included in every line.
+    :param zone: its availability zone, included in every line.
+    :returns: a function that takes the action and its fields. The fields are written as one nested
+        object so that they cannot clash with those of the line. Never pass secrets to it.
     """
 
     def write(action: str, /, **fields: Any) -> None:
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_metrics.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_metrics.py
@@ -1,5 +1,5 @@
 """
-Histograms of wait, run and total time for each team and each queue.
+Latency histograms (wait, run and total time) per team and per queue.
 """
 
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 class Latencies(msgspec.Struct):
     """
-    The histograms of one team or queue.
+    Latency histograms of one team or queue.
     """
 
     wait: HdrHistogram
@@ -30,7 +30,7 @@
 
 class MetricsState(msgspec.Struct):
     """
-    All histograms of this instance.
+    All latency histograms of this instance.
     """
 
     teams: dict[str, Latencies] = msgspec.field(default_factory=dict)
@@ -40,12 +40,12 @@
 
 class Summary(NamedTuple):
     """
-    One histogram, as shown and as merged.
+    Figures of one histogram, with its mergeable encoding.
 
-    :param count: values counted.
+    :param count: number of recorded values.
     :param percentiles_s: seconds at each percentile of `PERCENTILES`.
     :param max_s: largest value in seconds.
-    :param encoded: the histogram in the compressed form of hdrhistogram, which can be merged.
+    :param encoded: the histogram in hdrhistogram's compressed encoding, which can be merged.
     """
 
     count: int
@@ -56,7 +56,7 @@
 
 def new_histogram() -> HdrHistogram:
     """
-    Make an empty histogram; its unit is a tenth of a millisecond.
+    Build an empty histogram with a unit of 0.1 ms.
 
     :returns: the histogram.
     """
@@ -65,10 +65,10 @@
 
 def observe(state: MetricsState, effect: effects.ObserveLatency) -> None:
     """
-    Count one finished request.
+    Record the latencies of one finished request.
 
     :param state: the histograms.
-    :param effect: what was observed.
+    :param effect: latencies of the request.
     """
     for table, name in ((state.teams, effect.team), (state.queues, effect.queue)):
         latencies = table.get(name)
@@ -89,7 +89,7 @@
 
 def summarize(histogram: HdrHistogram) -> Summary:
     """
-    Give a histogram's figures and its mergeable form.
+    Return the figures and the mergeable encoding of a histogram.
 
     :param histogram: the histogram.
     :returns: the summary.
@@ -107,10 +107,10 @@
 
 def merge(encoded: list[str]) -> HdrHistogram:
     """
-    Add up histograms of several instances.
+    Merge the histograms of several instances.
 
     :param encoded: their encoded forms.
-    :returns: one histogram.
+    :returns: the merged histogram.
     """
     total = new_histogram()
     for text in encoded:
@@ -122,10 +122,10 @@
     state: MetricsState, is_visible: Callable[[str], bool] = lambda _name: True
 ) -> dict[str, dict[str, dict[str, dict[str, object]]]]:
     """
-    Give all histograms as plain data.
+    Return all histograms as JSON-compatible data.
 
     :param state: the histograms.
-    :param is_visible: tells whether the reader may see a team or queue, by its full name.
+    :param is_visible: returns whether the reader may see the team or queue with this full name.
     :returns: summaries by ``teams`` or ``queues``, name, and ``wait``, ``run`` or ``total``.
     """
     tables = {"teams": state.teams, "queues": state.queues}
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_fleet.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_fleet.py
@@ -1,5 +1,5 @@
 """
-What operators are shown of pools and maintenance.
+Operator views of pools and maintenance.
 """
 
 from collections import Counter
@@ -21,11 +21,11 @@
 
 def view_pools(state: State, scope: Scope) -> list[dict[str, Any]]:
     """
-    Show each pool with its sizes, its controller and what is under way.
+    Return each pool with its sizes, its controller and its instances in transition.
 
     :param state: state of the instance.
-    :param scope: what may be seen.
-    :returns: plain data, one object per pool.
+    :param scope: scope of the operator's key.
+    :returns: JSON-compatible data, one object per pool.
     """
     return [
         _view_pool(state, shard, pool)
@@ -56,13 +56,13 @@
 
 def view_maintenance(state: State, shard: str) -> dict[str, Any] | None:
     """
-    Show a shard's round, and the plain data from which its waves are planned.
+    Return a shard's maintenance round and the data from which its waves are planned.
 
-    Only the controller reads the inventory; elsewhere every instance is taken to be up.
+    Only the controller reads the inventory; on other instances, every instance is assumed to be up.
 
     :param state: state of the instance.
     :param shard: name of the document.
-    :returns: plain data, or ``None`` when the document has no pools.
+    :returns: JSON-compatible data, or ``None`` when the document has no pools.
     """
     if not pools_of(state.fold, shard):
         return None
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_scope.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_scope.py
@@ -1,5 +1,5 @@
 """
-What an operator's key may see.
+Authorization of operator keys: which workspaces each key may read.
 """
 
 import hmac
@@ -14,10 +14,10 @@
 
 class Scope(NamedTuple):
     """
-    Workspaces that a key may see.
+    Workspaces that an operator key may read.
 
     :param operator: name of the operator.
-    :param workspaces: the workspaces, or ``*`` for all and for what belongs to none.
+    :param workspaces: the workspaces, or ``*`` for all of them and for data that belongs to none.
     """
 
     operator: str
@@ -26,12 +26,12 @@
 
 def find_scope(state: State, root_digest: str, credential: Credential | None) -> Scope | None:
     """
-    Look up an operator's key in the fleet's document in force.
+    Return the scope of an operator key, looked up in the current fleet document.
 
     :param state: state of the instance.
-    :param root_digest: digest of the first operator's secret, or empty for none.
-    :param credential: what was presented.
-    :returns: what it may see, or ``None`` when it is no operator's key.
+    :param root_digest: digest of the root operator's secret, or empty for none.
+    :param credential: credential of the request, or ``None`` when it has none.
+    :returns: the scope, or ``None`` when the credential is not a valid operator key.
     """
     if credential is None:
         return None
@@ -48,7 +48,7 @@
 
 def sees_all(scope: Scope) -> bool:
     """
-    Tell whether a scope covers every workspace.
+    Return whether a scope covers every workspace.
 
     :param scope: the scope.
     :returns: whether it does.
@@ -58,7 +58,7 @@
 
 def sees_workspace(scope: Scope, workspace: str) -> bool:
     """
-    Tell whether a scope covers a workspace.
+    Return whether a scope covers a workspace.
 
     :param scope: the scope.
     :param workspace: the workspace, or ``fleet``, which only a scope over all covers.
@@ -69,7 +69,7 @@
 
 def sees_name(scope: Scope, name: str) -> bool:
     """
-    Tell whether a scope covers something named ``WORKSPACE/NAME``.
+    Return whether a scope covers something named ``WORKSPACE/NAME``.
 
     :param scope: the scope.
     :param name: the full name.
@@ -80,7 +80,7 @@
 
 def sees_subject(scope: Scope, subject: str) -> bool:
     """
-    Tell whether a scope covers a subject of the log.
+    Return whether a scope covers the subject of a log record.
 
     :param scope: the scope.
     :param subject: such as ``key/gartenschau/k7``.
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_withdrawal.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_withdrawal.py
@@ -1,5 +1,5 @@
 """
-Withdraws a key at this instance, which works without the log.
+Withdrawal of a key at this instance, which works even when the log is unavailable.
 """
 
 from typing import TYPE_CHECKING, Any
@@ -9,13 +9,13 @@
 if TYPE_CHECKING:
     from ._app import App
 
-# Members in these states are not waited for.
+# Members in these states need not acknowledge withdrawals.
 GONE = ("dead", "leaving")
 
 
 def withdraw(app: "App", workspace: str, key_id: str) -> None:
     """
-    Withdraw a key here, and begin to tell the other entry instances.
+    Withdraw a key at this instance, and start to propagate it to the other entry instances.
 
     :param app: the entry instance.
     :param workspace: the key's workspace.
@@ -26,10 +26,10 @@
 
 def view_spread(state: State) -> dict[str, Any]:
     """
-    Show how many other entry instances have every withdrawal that this one knows.
+    Return how many other entry instances acknowledged all withdrawals known to this one.
 
     :param state: state of the instance.
-    :returns: plain data.
+    :returns: JSON-compatible data.
     """
     present = [member for member in members(state) if member.state not in GONE]
     return {
@@ -42,7 +42,7 @@
 
 def is_spread(state: State) -> bool:
     """
-    Tell whether every other entry instance that is not gone has the withdrawals.
+    Return whether every other entry instance that is not dead or leaving has the withdrawals.
 
     :param state: state of the instance.
     :returns: whether they have.
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_recent.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_recent.py
@@ -1,5 +1,5 @@
 """
-Requests that ended lately, so that operators can ask what became of one.
+Bounded history of finished requests, so that operators can look up the outcome of one.
 """
 
 from collections import OrderedDict
@@ -12,17 +12,17 @@
 
 class EndedRequest(NamedTuple):
     """
-    What became of a request.
+    Outcome of a finished request.
 
     :param request_id: the caller's id.
     :param queue: ``WORKSPACE/QUEUE``.
     :param state: ``answered`` or ``refused``.
-    :param status: HTTP status that the caller got.
-    :param attempt: id of the attempt whose answer was given, or empty.
-    :param error: code of the refusal, or empty.
+    :param status: HTTP status returned to the caller.
+    :param attempt: id of the attempt whose response was returned, or empty.
+    :param error: error code of the rejection, or empty.
     :param run_state: ``done``, ``not_run`` or ``unknown``.
-    :param message: why it was refused, for people.
-    :param ended_at_s: seconds since 1970.
+    :param message: human-readable reason for the rejection.
+    :param ended_at_s: seconds since the Unix epoch.
     """
 
     request_id: str
@@ -38,7 +38,7 @@
 
 class RecentRequests(msgspec.Struct):
     """
-    The newest ended requests by id, and how many ended in which way.
+    The newest finished requests by id, and counts by outcome.
     """
 
     by_id: OrderedDict[str, EndedRequest] = msgspec.field(default_factory=OrderedDict)
@@ -47,10 +47,10 @@
 
 def remember(recent: RecentRequests, ended: EndedRequest) -> None:
     """
-    Keep what became of a request, and forget the oldest.
+    Store the outcome of a request, and evict the oldest when the history is full.
 
     :param recent: changed in place.
-    :param ended: the request.
+    :param ended: outcome of the request.
     """
     name = ended.error or ended.state
     recent.counts[name] = recent.counts.get(name, 0) + 1
