--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_api.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_api.py
@@ -1,5 +1,5 @@
 """
-The operators' API.
+HTTP API for operators.
 """
 
 from collections.abc import Callable
@@ -37,13 +37,13 @@
 
 class Call(NamedTuple):
     """
-    An operator's call whose key was accepted.
+    An authenticated operator call.
 
     :param app: the entry instance.
-    :param token: the exchange.
-    :param scope: what the key may see.
-    :param parts: parts of the path after the route's name.
-    :param query: parameters.
+    :param token: token of the HTTP exchange.
+    :param scope: scope of the operator's key.
+    :param parts: path segments after the route's name.
+    :param query: query parameters; the last value of each.
     """
 
     app: "App"
@@ -55,7 +55,7 @@
 
 def handle(app: "App", exchange: Exchange) -> None:
     """
-    Answer an operator's call.
+    Authenticate an operator's call and dispatch it to its route.
 
     :param app: the entry instance.
     :param exchange: the request.
@@ -236,7 +236,7 @@
         _answer_not_found(call) if found is None else _answer_ok(call, found)
 
 
-# Routes by method.
+# Handlers by HTTP method and route name.
 ROUTES: dict[str, dict[str, Callable[[Call], None]]] = {
     "GET": {
         "status": _answer_status,
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_views.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_views.py
@@ -1,5 +1,5 @@
 """
-What operators are shown of the state, limited to the scope of their key.
+Operator views of the state, limited to the scope of the operator's key.
 """
 
 from collections import Counter
@@ -14,11 +14,11 @@
 
 def view_status(state: State, scope: Scope) -> dict[str, Any]:
     """
-    Show the instance, its teams, queues, endpoints and members.
+    Return the status of the instance with its teams, queues, pools, endpoints and members.
 
     :param state: state of the instance.
-    :param scope: what may be seen.
-    :returns: plain data.
+    :param scope: scope of the operator's key.
+    :returns: JSON-compatible data.
     """
     sender = state.identity.sender
     return {
@@ -106,10 +106,10 @@
 
 def view_documents(state: State, scope: Scope) -> dict[str, Any]:
     """
-    List the documents in force.
+    Return the current revision of each document.
 
     :param state: state of the instance.
-    :param scope: what may be seen.
+    :param scope: scope of the operator's key.
     :returns: revision, author and comment by name.
     """
     return {
@@ -125,11 +125,11 @@
 
 def view_document(state: State, name: str) -> dict[str, Any] | None:
     """
-    Show one document with its history.
+    Return one document with its history.
 
     :param state: state of the instance.
     :param name: the document's name.
-    :returns: plain data, or ``None`` when there is none.
+    :returns: JSON-compatible data, or ``None`` when there is no such document.
     """
     revisions = state.fold.config.documents.get(name)
     if not revisions:
@@ -148,12 +148,12 @@
 
 def view_subjects(state: State, scope: Scope, prefix: str) -> dict[str, Any]:
     """
-    List subjects with the offset of their last accepted record.
+    Return subjects with the offset of their last accepted record.
 
     :param state: state of the instance.
-    :param scope: what may be seen.
-    :param prefix: what the subjects begin with.
-    :returns: plain data.
+    :param scope: scope of the operator's key.
+    :param prefix: prefix that the subjects start with.
+    :returns: JSON-compatible data.
     """
     revisions = state.fold.position.revisions
     return {
@@ -167,11 +167,11 @@
 
 def view_keys(state: State, workspace: str) -> list[dict[str, Any]]:
     """
-    List the keys of a workspace without anything secret.
+    Return the keys of a workspace without any secrets.
 
     :param state: state of the instance.
     :param workspace: the workspace.
-    :returns: plain data by key id; a withdrawn key no longer has a team.
+    :returns: JSON-compatible data, sorted by key id; a withdrawn key no longer has a team.
     """
     prefix = f"{workspace}/"
     shown = {
@@ -194,7 +194,7 @@
 
 def find_decision(state: State, record_id: RecordId) -> Verdict | None:
     """
-    Look up what the fold made of a record.
+    Return the fold's decision about a record.
 
     :param state: state of the instance.
     :param record_id: the record's id.
@@ -205,10 +205,10 @@
 
 def view_outcome(decision: Verdict | None) -> dict[str, Any]:
     """
-    Show what the fold made of a record.
+    Return the outcome of a record as decided by the fold.
 
     :param decision: the decision, or ``None`` when it is not known.
-    :returns: plain data.
+    :returns: JSON-compatible data.
     """
     if decision is None:
         return {"state": "unknown", "offset": None, "reason": None, "overtaken_by": None}
@@ -222,10 +222,10 @@
 
 def view_refusal(name: str) -> dict[str, Any] | None:
     """
-    Explain a refusal's code.
+    Return the description of an error code.
 
     :param name: the code, such as ``limit_reached``.
-    :returns: plain data, or ``None`` when there is no such code.
+    :returns: JSON-compatible data, or ``None`` when there is no such code.
     """
     for code in refusals.ALL_CODES:
         if code.name == name:
--- a/packages/eelgrassdrum-daemon/tests/test_operator_api.py
+++ b/packages/eelgrassdrum-daemon/tests/test_operator_api.py
@@ -1,5 +1,5 @@
 """
-The operators' API of a running entry instance, and what the scope of a key hides.
+Tests of the operator API of a running entry instance, and of what a key's scope hides.
 """
 
 from collections.abc import Iterator
@@ -39,7 +39,7 @@
 
 class Running(NamedTuple):
     """
-    The daemon and an operator who appends.
+    A running daemon and the writer of an operator who appends records.
     """
 
     daemon: Process
@@ -70,7 +70,7 @@
 
 def test_only_operators_are_answered(running: Running) -> None:
     """
-    Without an operator's key, or with its name and another secret, nothing is shown.
+    Calls without an operator key, or with a key's name and a wrong secret, are rejected.
     """
     for path in ("/v1/operator/status", "/v1/operator/documents/show", "/metrics"):
         assert call(running.daemon.address, "GET", path).status == 401
@@ -81,7 +81,7 @@
 
 def test_scope_hides_other_workspaces(running: Running) -> None:
     """
-    A key for one workspace sees its own documents, teams and subjects and nothing of another's.
+    A key for one workspace sees that workspace's documents, teams and subjects only.
     """
     assert get(running, "/v1/operator/documents/roads", SHOW_KEY).status == 403
     assert get(running, "/v1/operator/documents/fleet", SHOW_KEY).status == 403
@@ -100,7 +100,7 @@
 
 def test_outcome_tells_who_went_before(running: Running) -> None:
     """
-    A record that builds on an old revision is shown as rejected, with the record it lost against.
+    A record based on a stale revision is shown as rejected, with the record that overtook it.
     """
     first = running.writer.revisions["document/show"]
     second = fleet.publish(running.writer, "show", workspace_document("stewards"))
@@ -120,7 +120,7 @@
 
 def test_outcome_outside_the_scope_is_not_shown(running: Running) -> None:
     """
-    A key for one workspace learns nothing of another's record, not even that it was accepted.
+    A key for one workspace cannot read another workspace's record, not even its outcome.
     """
     fleet.publish(running.writer, "roads", workspace_document("crews"))
     path = f"/v1/operator/outcomes/operator/1/{running.writer.sequence}?wait=10"
@@ -129,7 +129,7 @@
 
 def test_explain_shows_an_ended_request(running: Running) -> None:
     """
-    A refused request is explained to operators of its workspace only.
+    The reason for a rejected request is shown only to operators of its workspace.
     """
     path = "/v1/queues/roads/scores/requests"
     refused = call(running.daemon.address, "POST", path, b"", {"X-Request-Id": "r-1"})
@@ -142,7 +142,7 @@
 
 def test_withdrawn_operator_is_refused(running: Running) -> None:
     """
-    An operator that the fleet's document no longer names is refused.
+    An operator that was removed from the fleet document is rejected.
     """
     fleet.publish(running.writer, "fleet", {**FLEET_DOCUMENT, "operators": []})
     wait_until(lambda: get(running, "/v1/operator/status", SHOW_KEY).status == 401)
@@ -151,7 +151,7 @@
 
 def test_key_is_withdrawn_at_an_instance(running: Running) -> None:
     """
-    A withdrawal by an operator of the workspace is in the log afterwards; others may not do it.
+    A withdrawal by an operator of the workspace reaches the log; other operators are rejected.
     """
     path = "/v1/operator/withdrawals/show/k9?wait=5"
     headers = {"Authorization": f"Bearer {SHOW_KEY}"}
--- a/packages/eelgrassdrum-daemon/tests/test_parts.py
+++ b/packages/eelgrassdrum-daemon/tests/test_parts.py
@@ -1,5 +1,5 @@
 """
-Settings, timers, histograms, kept answers and platform answers, each on its own.
+Unit tests of settings, timers, histograms, stored responses and platform responses.
 """
 
 import eliot
@@ -41,7 +41,7 @@
 
 def test_every_fault_of_the_settings_is_named() -> None:
     """
-    All faults are reported at once, each with its flag.
+    All invalid settings are reported at once, each with its flag.
     """
     assert faults_of([f"--{name}={text}" for name, text in GOOD.items()]) == set()
     bad = ["--zone", "A b", "--listen", "here:1", "--read-timeout-s", "soon", "--root-digest", "x"]
@@ -59,7 +59,7 @@
 
 def test_timers_run_in_order_and_cancelled_ones_do_not() -> None:
     """
-    Actions run when due, earliest first; a cancelled one never runs.
+    Timers run when due, earliest first; a cancelled timer never runs.
     """
     now = [0.0]
     scheduler = Scheduler(lambda: now[0])
@@ -78,7 +78,7 @@
 
 def test_many_cancelled_timers_take_no_memory() -> None:
     """
-    The schedule does not grow with timers that were cancelled.
+    Cancelled timers do not accumulate in the schedule.
     """
     scheduler = Scheduler(lambda: 0.0)
     for _ in range(20_000):
@@ -88,7 +88,7 @@
 
 def test_histograms_of_two_instances_add_up() -> None:
     """
-    Merged histograms count what both instances counted, within the precision kept.
+    Merged histograms hold the values of both instances, within the configured precision.
     """
     summaries = []
     for run_s in (0.010, 0.100):
@@ -103,7 +103,7 @@
 
 def test_kept_answers_are_bounded() -> None:
     """
-    The oldest answers go first, by bytes and by count, and a dropped one frees its bytes.
+    The oldest responses are evicted first, by bytes and count, and eviction frees their bytes.
     """
     store = _answers.AnswerStore(max_bytes=100, max_answers=3)
     for number in range(5):
@@ -117,7 +117,7 @@
 
 def test_reads_of_the_log_become_events() -> None:
     """
-    Records, a truncated stream, rubbish and gaps in the offsets are told apart.
+    Records, a truncated stream, malformed data and offset gaps are distinguished.
     """
     junk = {"records": [{"offset": 4, "record": 7}], "head": 9, "first": 2}
     assert _read_event(answer(200, junk)) == events.LogRead((events.StoredRecord(4, None),), 9, 2)
@@ -130,7 +130,7 @@
 
 def test_appends_say_whether_they_may_have_an_effect() -> None:
     """
-    Only a refusal over the cap and a request that was never sent certainly changed nothing.
+    Only a rejection over the cap and a request that was never sent certainly had no effect.
     """
     assert _append_event(answer(200, {"offsets": [7, 8], "head": 8}), 2) == events.AppendDone(
         (7, 8)
@@ -148,7 +148,7 @@
 
 def test_only_a_refusal_by_name_counts_as_not_run() -> None:
     """
-    A 503 without the not_run header is an answer; with it, it is a refusal.
+    A 503 is a response without the not_run header, and a rejection with it.
     """
     refusal = answer(503, {}, X_Run_State="not_run", X_Leaving="1")
     assert _attempt_event("a1", refusal) == events.AttemptRefused("a1", True)
@@ -160,7 +160,7 @@
 
 def test_probe_of_another_endpoint_is_unhealthy() -> None:
     """
-    An address that another endpoint has taken over does not speak for the first.
+    A health response from another endpoint at a reused address is not taken for the first's.
     """
     health = {"id": "ep-1", "incarnation": 2, "state": "leaving", "slots": 4, "running": []}
     probed = _probe_event("ep-1", answer(200, health))
@@ -171,7 +171,7 @@
 
 def test_bad_entry_of_the_list_spoils_no_other() -> None:
     """
-    Malformed entries are left out, and fields that are not known are passed over.
+    Malformed entries are skipped, and unknown fields are ignored.
     """
     entries = [
         {"id": "ep-1", "role": "endpoint", "address": "127.0.0.1:1", "zone": "a", "new": 1},
@@ -186,7 +186,7 @@
 
 def test_fields_of_a_line_do_not_clash_with_its_own() -> None:
     """
-    A line about another instance keeps both names apart.
+    A log line about another instance keeps its name apart from the writer's.
     """
     lines: list[dict] = []
     eliot.add_destinations(lines.append)
