--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_app.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_app.py
@@ -73,7 +73,7 @@
         self.recent = RecentRequests()
         self.open_requests: dict[int, _delivery.OpenRequest] = {}
         self.stop_state = _shutdown.StopState()
-        self.waiting_outcomes = 0
+        self.waiting_calls = 0
         self._pending: deque[object] = deque()
         self._reducing = False
         self._open_sockets()
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_delivery.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_delivery.py
@@ -9,7 +9,7 @@
 from eelgrassdrum_core import effects, events, refusals
 
 from ._caller_api import relayed_headers
-from ._recent import EndedRequest, remember
+from ._recent import EndedRequest, record_ended_request
 from ._server_answers import refusal_body, refusal_headers
 
 if TYPE_CHECKING:
@@ -78,7 +78,7 @@
         "",
         time.time(),
     )
-    remember(app.recent, ended)
+    record_ended_request(app.recent, ended)
 
 
 def refuse(app: "App", effect: effects.Refuse) -> None:
@@ -107,7 +107,7 @@
         f"{refusal.code.message} {refusal.detail}".strip(),
         time.time(),
     )
-    remember(app.recent, ended)
+    record_ended_request(app.recent, ended)
 
 
 def refuse_all(app: "App", refusal: refusals.Refusal) -> None:
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_api.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_api.py
@@ -24,7 +24,7 @@
 METRICS_PATH = "/metrics"
 PREFIXES = (OPERATOR_PREFIX, METRICS_PATH)
 MAX_WAIT_S = 10.0
-MAX_WAITING = 64
+MAX_WAITING_CALLS = 64
 OUTCOME_POLL_S = 0.05
 
 STATUS_OK = 200
@@ -141,7 +141,7 @@
     if record_id is None or wait_s is None:
         _answer(call.app, call.token, STATUS_BAD_REQUEST, {"error": "bad_request"})
         return
-    if call.app.waiting_outcomes >= MAX_WAITING:
+    if call.app.waiting_calls >= MAX_WAITING_CALLS:
         wait_s = 0.0
     _await_outcome(call, record_id, call.app.scheduler.clock() + wait_s)
 
@@ -157,10 +157,10 @@
         return
 
     def check_again() -> None:
-        app.waiting_outcomes -= 1
+        app.waiting_calls -= 1
         _await_outcome(call, record_id, deadline_s)
 
-    app.waiting_outcomes += 1
+    app.waiting_calls += 1
     app.scheduler.call_later(OUTCOME_POLL_S, check_again)
 
 
@@ -172,21 +172,21 @@
         _answer_forbidden(call)
     else:
         withdrawal.withdraw(call.app, *call.parts)
-        _await_spread(call, call.app.scheduler.clock() + wait_s)
+        _await_propagation(call, call.app.scheduler.clock() + wait_s)
 
 
-def _await_spread(call: Call, deadline_s: float) -> None:
+def _await_propagation(call: Call, deadline_s: float) -> None:
     app = call.app
-    is_over = app.scheduler.clock() >= deadline_s or app.waiting_outcomes >= MAX_WAITING
-    if is_over or withdrawal.is_spread(app.state):
-        _answer_ok(call, withdrawal.view_spread(app.state))
+    is_over = app.scheduler.clock() >= deadline_s or app.waiting_calls >= MAX_WAITING_CALLS
+    if is_over or withdrawal.is_propagated(app.state):
+        _answer_ok(call, withdrawal.view_propagation(app.state))
         return
 
     def check_again() -> None:
-        app.waiting_outcomes -= 1
-        _await_spread(call, deadline_s)
+        app.waiting_calls -= 1
+        _await_propagation(call, deadline_s)
 
-    app.waiting_outcomes += 1
+    app.waiting_calls += 1
     app.scheduler.call_later(OUTCOME_POLL_S, check_again)
 
 
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_withdrawal.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_withdrawal.py
@@ -24,7 +24,7 @@
     app.post(KeyWithdrawalAsked(workspace, key_id))
 
 
-def view_spread(state: State) -> dict[str, Any]:
+def view_propagation(state: State) -> dict[str, Any]:
     """
     Return how many other entry instances acknowledged all withdrawals known to this one.
 
@@ -40,12 +40,12 @@
     }
 
 
-def is_spread(state: State) -> bool:
+def is_propagated(state: State) -> bool:
     """
     Return whether every other entry instance that is not dead or leaving has the withdrawals.
 
     :param state: state of the instance.
     :returns: whether they have.
     """
-    spread = view_spread(state)
+    spread = view_propagation(state)
     return bool(spread["told"] >= spread["others"])
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_recent.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_recent.py
@@ -45,7 +45,7 @@
     counts: dict[str, int] = msgspec.field(default_factory=dict)
 
 
-def remember(recent: RecentRequests, ended: EndedRequest) -> None:
+def record_ended_request(recent: RecentRequests, ended: EndedRequest) -> None:
     """
     Store the outcome of a request, and evict the oldest when the history is full.
 
