--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_app.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_app.py
@@ -204,7 +204,7 @@
             effects.ProbeEndpoint: endpoints.probe,
             effects.SendPeer: self._send_peer,
             effects.WriteLog: self._write_log,
-            effects.ObserveLatency: partial(_metrics.observe, self.metrics),
+            effects.ObserveLatency: partial(_metrics.record_latencies, self.metrics),
             effects.Exit: partial(_shutdown.on_leave, self),
             **make_machine_effects(list_base, self.control, self.post, self._write_log),
         }
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_metrics.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_metrics.py
@@ -35,7 +35,7 @@
 
     teams: dict[str, Latencies] = msgspec.field(default_factory=dict)
     queues: dict[str, Latencies] = msgspec.field(default_factory=dict)
-    unnamed: int = 0
+    skipped_observations: int = 0
 
 
 class Summary(NamedTuple):
@@ -63,7 +63,7 @@
     return HdrHistogram(LOWEST_UNITS, HIGHEST_UNITS, SIGNIFICANT_DIGITS)
 
 
-def observe(state: MetricsState, effect: effects.ObserveLatency) -> None:
+def record_latencies(state: MetricsState, effect: effects.ObserveLatency) -> None:
     """
     Record the latencies of one finished request.
 
@@ -74,7 +74,7 @@
         latencies = table.get(name)
         if latencies is None:
             if len(table) >= MAX_NAMES:
-                state.unnamed += 1
+                state.skipped_observations += 1
                 continue
             latencies = table[name] = Latencies(*(new_histogram() for _ in range(3)))
         _record(latencies.wait, effect.wait_s)
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_api.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_api.py
@@ -32,7 +32,7 @@
 STATUS_UNAUTHORIZED = 401
 STATUS_FORBIDDEN = 403
 STATUS_NOT_FOUND = 404
-STATUS_METHOD = 405
+STATUS_METHOD_NOT_ALLOWED = 405
 
 
 class Call(NamedTuple):
@@ -61,7 +61,7 @@
     :param exchange: the request.
     """
     if exchange.req.method not in ROUTES:
-        _answer(app, exchange.token, STATUS_METHOD, {"error": "method_not_allowed"})
+        _answer(app, exchange.token, STATUS_METHOD_NOT_ALLOWED, {"error": "method_not_allowed"})
         return
     try:
         credential = read_credential(exchange.req.headers)
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_scope.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_scope.py
@@ -9,7 +9,7 @@
 
 ALL_WORKSPACES = "*"
 # Kinds of subjects whose second part names a workspace.
-WORKSPACE_SUBJECTS = ("document", "key", "maintenance")
+WORKSPACE_SUBJECT_KINDS = ("document", "key", "maintenance")
 
 
 class Scope(NamedTuple):
@@ -87,6 +87,6 @@
     :returns: whether it does.
     """
     kind, _, rest = subject.partition("/")
-    if kind in WORKSPACE_SUBJECTS:
+    if kind in WORKSPACE_SUBJECT_KINDS:
         return sees_name(scope, rest)
     return sees_all(scope)
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_withdrawal.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_withdrawal.py
@@ -10,7 +10,7 @@
     from ._app import App
 
 # Members in these states need not acknowledge withdrawals.
-GONE = ("dead", "leaving")
+DEPARTED_STATES = ("dead", "leaving")
 
 
 def withdraw(app: "App", workspace: str, key_id: str) -> None:
@@ -31,7 +31,7 @@
     :param state: state of the instance.
     :returns: JSON-compatible data.
     """
-    present = [member for member in members(state) if member.state not in GONE]
+    present = [member for member in members(state) if member.state not in DEPARTED_STATES]
     return {
         "instance": state.identity.sender.instance,
         "told": told_instances(state),
--- a/packages/eelgrassdrum-daemon/tests/test_parts.py
+++ b/packages/eelgrassdrum-daemon/tests/test_parts.py
@@ -94,7 +94,9 @@
     for run_s in (0.010, 0.100):
         state = _metrics.MetricsState()
         for _ in range(50):
-            _metrics.observe(state, effects.ObserveLatency("show/scores", "show/judges", 0, run_s))
+            _metrics.record_latencies(
+                state, effects.ObserveLatency("show/scores", "show/judges", 0, run_s)
+            )
         summaries.append(_metrics.summarize(state.teams["show/judges"].run))
     merged = _metrics.merge([summary.encoded for summary in summaries])
     assert merged.get_total_count() == 100
@@ -169,7 +171,7 @@
     assert not _probe_event("ep-1", answer(200, b"rubbish")).healthy
 
 
-def test_bad_entry_of_the_list_spoils_no_other() -> None:
+def test_malformed_instance_entry_is_skipped() -> None:
     """
     Malformed entries are skipped, and unknown fields are ignored.
     """
@@ -184,7 +186,7 @@
     assert parse_instances(answer(200, b"rubbish")) is None
 
 
-def test_fields_of_a_line_do_not_clash_with_its_own() -> None:
+def test_log_fields_do_not_clash_with_line_fields() -> None:
     """
     A log line about another instance keeps its name apart from the writer's.
     """
