--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_api.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_api.py
@@ -1,5 +1,5 @@
 """
-The operators' API.
+HTTP API for operators.
 """
 
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 METRICS_PATH = "/metrics"
 PREFIXES = (OPERATOR_PREFIX, METRICS_PATH)
 MAX_WAIT_S = 10.0
-MAX_WAITING = 64
+MAX_WAITING_CALLS = 64
 OUTCOME_POLL_S = 0.05
 
 STATUS_OK = 200
@@ -32,18 +32,18 @@
 STATUS_UNAUTHORIZED = 401
 STATUS_FORBIDDEN = 403
 STATUS_NOT_FOUND = 404
-STATUS_METHOD = 405
+STATUS_METHOD_NOT_ALLOWED = 405
 
 
 class Call(NamedTuple):
     """
-    An operator's call whose key was accepted.
+    An authenticated operator call.
 
     :param app: the entry instance.
-    :param token: the exchange.
-    :param scope: what the key may see.
-    :param parts: parts of the path after the route's name.
-    :param query: parameters.
+    :param token: token of the HTTP exchange.
+    :param scope: scope of the operator's key.
+    :param parts: path segments after the route's name.
+    :param query: query parameters; the last value of each.
     """
 
     app: "App"
@@ -55,13 +55,13 @@
 
 def handle(app: "App", exchange: Exchange) -> None:
     """
-    Answer an operator's call.
+    Authenticate an operator's call and dispatch it to its route.
 
     :param app: the entry instance.
     :param exchange: the request.
     """
     if exchange.req.method not in ROUTES:
-        _answer(app, exchange.token, STATUS_METHOD, {"error": "method_not_allowed"})
+        _answer(app, exchange.token, STATUS_METHOD_NOT_ALLOWED, {"error": "method_not_allowed"})
         return
     try:
         credential = read_credential(exchange.req.headers)
@@ -141,7 +141,7 @@
     if record_id is None or wait_s is None:
         _answer(call.app, call.token, STATUS_BAD_REQUEST, {"error": "bad_request"})
         return
-    if call.app.waiting_outcomes >= MAX_WAITING:
+    if call.app.waiting_calls >= MAX_WAITING_CALLS:
         wait_s = 0.0
     _await_outcome(call, record_id, call.app.scheduler.clock() + wait_s)
 
@@ -157,10 +157,10 @@
         return
 
     def check_again() -> None:
-        app.waiting_outcomes -= 1
+        app.waiting_calls -= 1
         _await_outcome(call, record_id, deadline_s)
 
-    app.waiting_outcomes += 1
+    app.waiting_calls += 1
     app.scheduler.call_later(OUTCOME_POLL_S, check_again)
 
 
@@ -172,21 +172,21 @@
         _answer_forbidden(call)
     else:
         withdrawal.withdraw(call.app, *call.parts)
-        _await_spread(call, call.app.scheduler.clock() + wait_s)
+        _await_propagation(call, call.app.scheduler.clock() + wait_s)
 
 
-def _await_spread(call: Call, deadline_s: float) -> None:
+def _await_propagation(call: Call, deadline_s: float) -> None:
     app = call.app
-    is_over = app.scheduler.clock() >= deadline_s or app.waiting_outcomes >= MAX_WAITING
-    if is_over or withdrawal.is_spread(app.state):
-        _answer_ok(call, withdrawal.view_spread(app.state))
+    is_over = app.scheduler.clock() >= deadline_s or app.waiting_calls >= MAX_WAITING_CALLS
+    if is_over or withdrawal.is_propagated(app.state):
+        _answer_ok(call, withdrawal.view_propagation(app.state))
         return
 
     def check_again() -> None:
-        app.waiting_outcomes -= 1
-        _await_spread(call, deadline_s)
+        app.waiting_calls -= 1
+        _await_propagation(call, deadline_s)
 
-    app.waiting_outcomes += 1
+    app.waiting_calls += 1
     app.scheduler.call_later(OUTCOME_POLL_S, check_again)
 
 
@@ -236,7 +236,7 @@
         _answer_not_found(call) if found is None else _answer_ok(call, found)
 
 
-# Routes by method.
+# Handlers by HTTP method and route name.
 ROUTES: dict[str, dict[str, Callable[[Call], None]]] = {
     "GET": {
         "status": _answer_status,
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_withdrawal.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_operator_withdrawal.py
@@ -1,5 +1,5 @@
 """
-Withdraws a key at this instance, which works without the log.
+Withdrawal of a key at this instance, which works even when the log is unavailable.
 """
 
 from typing import TYPE_CHECKING, Any
@@ -9,13 +9,13 @@
 if TYPE_CHECKING:
     from ._app import App
 
-# Members in these states are not waited for.
-GONE = ("dead", "leaving")
+# Members in these states need not acknowledge withdrawals.
+DEPARTED_STATES = ("dead", "leaving")
 
 
 def withdraw(app: "App", workspace: str, key_id: str) -> None:
     """
-    Withdraw a key here, and begin to tell the other entry instances.
+    Withdraw a key at this instance, and start to propagate it to the other entry instances.
 
     :param app: the entry instance.
     :param workspace: the key's workspace.
@@ -24,14 +24,14 @@
     app.post(KeyWithdrawalAsked(workspace, key_id))
 
 
-def view_spread(state: State) -> dict[str, Any]:
+def view_propagation(state: State) -> dict[str, Any]:
     """
-    Show how many other entry instances have every withdrawal that this one knows.
+    Return how many other entry instances acknowledged all withdrawals known to this one.
 
     :param state: state of the instance.
-    :returns: plain data.
+    :returns: JSON-compatible data.
     """
-    present = [member for member in members(state) if member.state not in GONE]
+    present = [member for member in members(state) if member.state not in DEPARTED_STATES]
     return {
         "instance": state.identity.sender.instance,
         "told": told_instances(state),
@@ -40,12 +40,12 @@
     }
 
 
-def is_spread(state: State) -> bool:
+def is_propagated(state: State) -> bool:
     """
-    Tell whether every other entry instance that is not gone has the withdrawals.
+    Return whether every other entry instance that is not dead or leaving has the withdrawals.
 
     :param state: state of the instance.
     :returns: whether they have.
     """
-    spread = view_spread(state)
+    spread = view_propagation(state)
     return bool(spread["told"] >= spread["others"])
