--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_endpoint_adapter.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_endpoint_adapter.py
@@ -26,10 +26,10 @@
 
 class EndpointAdapter(NamedTuple):
     """
-    What the daemon can ask of endpoints.
+    Operations on endpoints.
 
-    :param dispatch: sends an attempt with a body.
-    :param probe: asks for an endpoint's health.
+    :param dispatch: sends an attempt with its request body.
+    :param probe: sends a health probe to an endpoint.
     """
 
     dispatch: Callable[[effects.Dispatch, bytes], None]
@@ -38,7 +38,7 @@
 
 class RunningJson(msgspec.Struct):
     """
-    One running attempt in an endpoint's health answer.
+    A running attempt in an endpoint's health response.
     """
 
     attempt: str
@@ -48,7 +48,7 @@
 
 class HealthJson(msgspec.Struct):
     """
-    An endpoint's health answer.
+    Health response of an endpoint.
     """
 
     id: str
@@ -64,13 +64,13 @@
     keep_answer: Callable[[str, HttpAnswer], None],
 ) -> EndpointAdapter:
     """
-    Bind the adapter to its connections.
+    Build the adapter on its connection pools.
 
-    :param attempts: connections for attempts.
-    :param probes: connections for probes, apart so that a probe says nothing about an attempt's
-        connection but that the endpoint lives.
-    :param post: takes the events.
-    :param keep_answer: keeps an attempt's answer until the core decides about it.
+    :param attempts: connection pool for attempts.
+    :param probes: connection pool for probes; separate, so that a probe shows only that the
+        endpoint is alive and nothing about the connection of an attempt.
+    :param post: called with each event.
+    :param keep_answer: stores the response to an attempt until the core decides about it.
     :returns: the adapter.
     """
 
@@ -134,7 +134,7 @@
         health = msgspec.json.decode(outcome.body, type=HealthJson)
     except msgspec.MsgspecError:
         return events.EndpointProbed(endpoint, healthy=False)
-    # Another endpoint may have taken over the address.
+    # The address may have been reassigned to another endpoint.
     if health.id != endpoint:
         return events.EndpointProbed(endpoint, healthy=False)
     running = None
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_list_adapter.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_list_adapter.py
@@ -1,5 +1,5 @@
 """
-Adapter for the platform's list of instances.
+Adapter for the platform's instance list.
 """
 
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 class ListJson(msgspec.Struct):
     """
-    The answer of the list; each entry is read by itself so that a bad one spoils no other.
+    Response of the instance list; each entry is decoded separately, so a bad one affects no other.
     """
 
     instances: list[Any]
@@ -32,13 +32,13 @@
     write_log: Callable[[effects.WriteLog], None],
 ) -> Callable[[effects.ReadInstances], None]:
     """
-    Bind the reader to its connections.
+    Build the reader on its connection pool.
 
-    :param base: where the list is.
-    :param pool: connections to it.
-    :param post: takes the events.
-    :param write_log: takes what went wrong.
-    :returns: a function that reads the list once, unless a read is in flight.
+    :param base: base URL of the instance list.
+    :param pool: connection pool for it.
+    :param post: called with each event.
+    :param write_log: called with a log line for each failed read.
+    :returns: function that starts a read of the list unless one is in flight.
     """
     in_flight = False
 
@@ -64,10 +64,10 @@
 
 def parse_instances(outcome: HttpOutcome) -> tuple[events.ListedInstance, ...] | None:
     """
-    Read the entries of the list, leaving out malformed ones.
+    Parse the entries of the list, skipping malformed ones.
 
-    :param outcome: what came of the request.
-    :returns: the entries, or ``None`` when there was no readable answer.
+    :param outcome: outcome of the request.
+    :returns: the entries, or ``None`` without a valid response.
     """
     if isinstance(outcome, HttpFailure) or outcome.status != STATUS_OK:
         return None
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_log_adapter.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_log_adapter.py
@@ -34,7 +34,7 @@
 
 class LogAdapter(NamedTuple):
     """
-    What the daemon can ask of the log.
+    Operations on the log.
 
     :param read: reads the control stream.
     :param append: appends to the control stream.
@@ -46,7 +46,7 @@
 
 class StoredJson(msgspec.Struct):
     """
-    One record in the answer to a read.
+    A record in the response to a read.
     """
 
     offset: int
@@ -55,7 +55,7 @@
 
 class ReadJson(msgspec.Struct):
     """
-    The answer to a read.
+    Response to a read.
     """
 
     records: list[StoredJson]
@@ -65,7 +65,7 @@
 
 class GoneJson(msgspec.Struct):
     """
-    The answer to a read of what the log no longer keeps.
+    Response to a read of records that the log no longer retains.
     """
 
     first: int
@@ -74,7 +74,7 @@
 
 class AppendJson(msgspec.Struct):
     """
-    The answer to an append.
+    Response to an append.
     """
 
     offsets: list[int]
@@ -82,12 +82,12 @@
 
 def make_log_adapter(base: BaseUrl, pool: HttpPool, scheduler: Scheduler, post: Post) -> LogAdapter:
     """
-    Bind the adapter to its connections.
+    Build the adapter on its connection pool.
 
-    :param base: where the log is.
-    :param pool: connections to it.
+    :param base: base URL of the log service.
+    :param pool: connection pool for it.
     :param scheduler: runs delayed reads and appends.
-    :param post: takes the events.
+    :param post: called with each event.
     :returns: the adapter.
     """
     path = f"{base.path}/v1/streams/{CONTROL_STREAM}/records"
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_machine_adapter.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_machine_adapter.py
@@ -1,5 +1,5 @@
 """
-Adapter for the platform's calls on instances of pools: inventory, drain, reboot and join.
+Adapter for the platform's API for instances of pools: inventory, drain, reboot and join.
 """
 
 from collections.abc import Callable
@@ -25,7 +25,7 @@
 
 class InventoryJson(msgspec.Struct):
     """
-    The answer to a read of the inventory; a malformed entry is left out and spoils no other.
+    Response to an inventory read; a malformed entry is skipped and affects no other.
     """
 
     at_s: float
@@ -37,7 +37,7 @@
 
 class StepJson(msgspec.Struct):
     """
-    The answer to a call on one instance.
+    Response to a call on one instance.
     """
 
     state: str
@@ -45,10 +45,10 @@
 
 class Call(NamedTuple):
     """
-    One call on an instance.
+    A call on one instance.
 
     :param action: ``drain``, ``reboot`` or ``join``.
-    :param fields: the body.
+    :param fields: fields of the request body besides the epoch.
     """
 
     instance: str
@@ -61,13 +61,13 @@
     base: BaseUrl, pool: HttpPool, post: Post, write_line: WriteLine
 ) -> dict[type, Callable[[Any], None]]:
     """
-    Bind the adapter to its connections.
+    Build the adapter on its connection pool.
 
-    :param base: where the platform's list of instances is.
-    :param pool: connections to it.
-    :param post: takes the events.
-    :param write_line: takes what went wrong with reads, once until they work again.
-    :returns: a function for each effect.
+    :param base: base URL of the platform's instance list.
+    :param pool: connection pool for it.
+    :param post: called with each event.
+    :param write_line: called with a log line at the first failed read after a successful one.
+    :returns: handler of each effect type.
     """
     is_failing = False
 
@@ -114,11 +114,11 @@
     effect: messages.ReadInventory, outcome: HttpOutcome
 ) -> messages.InventoryReceived | None:
     """
-    Read the answer to a read of the inventory.
+    Parse the response to an inventory read.
 
     :param effect: the read.
-    :param outcome: what came of it.
-    :returns: the event, or ``None`` when there was no readable answer.
+    :param outcome: outcome of the request.
+    :returns: the event, or ``None`` without a valid response.
     """
     found = _decode(outcome, InventoryJson)
     if found is None:
@@ -136,10 +136,10 @@
 
 def parse_step(call: Call, outcome: HttpOutcome) -> messages.StepReported | None:
     """
-    Read the answer to a call on an instance.
+    Parse the response to a call on an instance.
 
     :param call: the call.
-    :param outcome: what came of it.
+    :param outcome: outcome of the request.
     :returns: the event, or ``None`` when the outcome is unknown and the call will be repeated.
     """
     found = _decode(outcome, StepJson)
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_peers.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_peers.py
@@ -1,8 +1,8 @@
 """
 Messages between entry instances over pynng.
 
-Each instance listens on one pull socket and holds a push socket for each peer that it writes to.
-No send blocks: what does not fit into a peer's queue is dropped and counted.
+Each instance listens on one pull socket and has a push socket for each peer that it sends to.
+Sends never block: messages that do not fit into a peer's queue are dropped and counted.
 """
 
 from collections.abc import Callable
@@ -18,14 +18,14 @@
 MAX_MESSAGES_PER_WAKEUP = 256
 RECONNECT_MIN_MS = 50
 RECONNECT_MAX_MS = 1000
-# A queue that has stayed full for so long belongs to a connection that went silent.
+# A queue that stays full for this long indicates a connection that no longer responds.
 STALLED_AFTER_S = 3.0
 UNUSED_AFTER_S = 60.0
 
 
 class PeerLink(msgspec.Struct, eq=False):
     """
-    The way to one peer.
+    Connection to one peer.
     """
 
     socket: pynng.Push0
@@ -35,7 +35,7 @@
 
 class PeerCounters(msgspec.Struct):
     """
-    What went to and came from peers since the start.
+    Message counters since the process start.
     """
 
     sent: int = 0
@@ -47,7 +47,7 @@
 
 class Peers(BaseComponent):
     """
-    Sends to and receives from other entry instances.
+    Sends messages to other entry instances and receives theirs.
     """
 
     channel = "peers"
@@ -64,8 +64,8 @@
 
         :param listen: ``IP:PORT``; port 0 lets the system choose.
         :param poller: the poller of the event loop.
-        :param clock: gives the time in seconds.
-        :param on_message: called with each message.
+        :param clock: returns the current time in seconds.
+        :param on_message: called with each received message.
         """
         self.clock = clock
         self.on_message = on_message
@@ -75,13 +75,13 @@
         self._pull.recv_max_size = MAX_MESSAGE_BYTES
         listener = self._pull.listen(f"tcp://{listen}")
         self.address = str(listener.local_address)
-        # The descriptor becomes readable when a message waits, so nothing has to be polled.
+        # The descriptor becomes readable when a message is queued, so no polling is needed.
         self._receive_fd = self._pull.recv_fd
         poller.addReader(self, self._receive_fd)
 
     def send(self, address: str, data: bytes) -> None:
         """
-        Send a message, or drop it when the peer's queue is full.
+        Send a message without blocking; drop it if the peer's queue is full.
 
         :param address: ``IP:PORT`` of the peer.
         :param data: the message.
@@ -108,7 +108,7 @@
 
     def close_unused(self) -> None:
         """
-        Close the ways to peers that nothing was sent to for a while.
+        Close connections to peers that nothing was sent to for `UNUSED_AFTER_S`.
         """
         now = self.clock()
         for address, link in list(self._links.items()):
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_shutdown.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_shutdown.py
@@ -1,9 +1,9 @@
 """
-The graceful stop of an entry instance.
+Graceful shutdown of an entry instance.
 
-After the first signal the instance says that it is not ready, refuses new requests as not run, and
-finishes what runs. Balancers and callers with open connections get some time to notice, because a
-request that is on its way to a closing connection would be cut.
+After the first signal the instance reports that it is not ready, refuses new requests as not run,
+and completes the running ones. Load balancers and callers with open connections get time to
+react, because closing a connection would cut off a request that is in transit.
 """
 
 import os
@@ -29,10 +29,10 @@
 
 class StopState(msgspec.Struct):
     """
-    How far the stop has come.
+    Progress of the shutdown.
 
-    :param requested_at_s: time of the first signal.
-    :param exit_by_s: time at which the process ends whatever is still open.
+    :param requested_at_s: time of the first signal, or ``None`` before it.
+    :param exit_by_s: deadline after which the process exits even with connections open.
     """
 
     requested_at_s: float | None = None
@@ -41,10 +41,10 @@
 
 def on_signal(app: "App", signo: int) -> None:
     """
-    Begin to stop at the first signal, end the process at the second.
+    Start the graceful shutdown at the first signal and exit immediately at the second.
 
     :param app: the entry instance.
-    :param signo: number of the signal.
+    :param signo: signal number.
     """
     if signo not in STOP_SIGNALS:
         return
@@ -59,7 +59,7 @@
 
 def on_leave(app: "App", _effect: effects.Exit) -> None:
     """
-    End the process once the time to notice is over; the core asks again with each tick.
+    Start the exit once the notice period is over; the core repeats the effect with each tick.
 
     :param app: the entry instance.
     """
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_snapshot_adapter.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_snapshot_adapter.py
@@ -41,13 +41,13 @@
     base: BaseUrl, pool: HttpPool, scheduler: Scheduler, post: Post
 ) -> dict[type, Callable[[Any], None]]:
     """
-    Bind the adapter to its connections.
+    Build the effect handlers on their connection pool.
 
-    :param base: where the log is.
-    :param pool: connections to it.
+    :param base: base URL of the log service.
+    :param pool: connection pool for it.
     :param scheduler: runs delayed reads.
-    :param post: takes the events.
-    :returns: what carries out each effect.
+    :param post: called with each event.
+    :returns: handler of each effect type.
     """
     path = f"{base.path}/v1/streams/{SNAPSHOT_STREAM}/records"
 
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_timers.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_timers.py
@@ -1,8 +1,8 @@
 """
-Deadlines for every part of the daemon, kept in one component.
+Scheduler for all timers of the daemon, in a single component.
 
 A circuits `Timer` is a component of its own, and registering one clears the event cache of the
-whole tree. With a deadline for each request that costs more than the request itself.
+whole tree. With a deadline for each request, that costs more than the request itself.
 """
 
 import heapq
@@ -20,10 +20,10 @@
 
 class Timer(msgspec.Struct, eq=False):
     """
-    One action that is to run later.
+    A scheduled action.
 
-    :param due_s: time by the scheduler's clock.
-    :param action: what to run, or ``None`` once it ran or was cancelled.
+    :param due_s: due time by the scheduler's clock, in seconds.
+    :param action: callback, or ``None`` once it ran or was cancelled.
     """
 
     due_s: float
@@ -32,16 +32,16 @@
 
 class Scheduler(BaseComponent):
     """
-    Runs actions at their time, from the event loop.
+    Runs actions from the event loop when they are due.
     """
 
     channel = "scheduler"
 
     def init(self, clock: Callable[[], float] = time.monotonic) -> None:
         """
-        Make an empty schedule.
+        Create a scheduler without timers.
 
-        :param clock: gives the time in seconds.
+        :param clock: returns the current time in seconds.
         """
         self.clock = clock
         self._heap: list[tuple[float, int, Timer]] = []
@@ -50,10 +50,10 @@
 
     def call_later(self, delay_s: float, action: Action) -> Timer:
         """
-        Schedule an action.
+        Run an action once after a delay.
 
-        :param delay_s: seconds from now.
-        :param action: what to run.
+        :param delay_s: delay in seconds.
+        :param action: callback.
         :returns: the timer, for `cancel`.
         """
         timer = Timer(self.clock() + delay_s, action)
@@ -62,10 +62,10 @@
 
     def repeat(self, interval_s: float, action: Action) -> None:
         """
-        Run an action at an interval until the process ends.
+        Run an action periodically until the process exits.
 
         :param interval_s: seconds from the end of one run to the next.
-        :param action: what to run.
+        :param action: callback.
         """
 
         def run() -> None:
@@ -76,7 +76,7 @@
 
     def cancel(self, timer: Timer | None) -> None:
         """
-        Keep a timer from running; one that ran already is left alone.
+        Cancel a timer; do nothing if it already ran or was cancelled.
 
         :param timer: the timer, or ``None``.
         """
@@ -89,10 +89,10 @@
 
     def run_due(self) -> float | None:
         """
-        Run every action whose time has come.
+        Run every action that is due.
 
-        :returns: seconds until the next one, 0 when any has run, since it may have fired circuits
-            events that must not wait for the poller, or ``None`` when there is none.
+        :returns: seconds until the next action; 0 if any ran, since it may have fired circuits
+            events that must not wait for the poller; ``None`` if no action is scheduled.
         """
         now = self.clock()
         has_run = False
