--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_app.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_app.py
@@ -205,7 +205,7 @@
             effects.SendPeer: self._send_peer,
             effects.WriteLog: self._write_log,
             effects.ObserveLatency: partial(_metrics.observe, self.metrics),
-            effects.Exit: partial(_shutdown.on_leave, self),
+            effects.Exit: partial(_shutdown.on_exit, self),
             **make_machine_effects(list_base, self.control, self.post, self._write_log),
         }
 
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_peers.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_peers.py
@@ -29,7 +29,7 @@
     """
 
     socket: pynng.Push0
-    used_s: float
+    last_used_s: float
     stalled_since_s: float | None = None
 
 
@@ -87,7 +87,7 @@
         :param data: the message.
         """
         link = self._links.get(address) or self._dial(address)
-        link.used_s = self.clock()
+        link.last_used_s = self.clock()
         try:
             link.socket.send(data, block=False)
         except pynng.TryAgain:
@@ -103,7 +103,7 @@
         Close every socket.
         """
         for address in list(self._links):
-            self._hang_up(address)
+            self._disconnect(address)
         self._pull.close()
 
     def close_unused(self) -> None:
@@ -112,8 +112,8 @@
         """
         now = self.clock()
         for address, link in list(self._links.items()):
-            if now - link.used_s > UNUSED_AFTER_S:
-                self._hang_up(address)
+            if now - link.last_used_s > UNUSED_AFTER_S:
+                self._disconnect(address)
 
     def _dial(self, address: str) -> PeerLink:
         socket = pynng.Push0(send_buffer_size=SEND_QUEUE_MESSAGES)
@@ -130,9 +130,9 @@
             link.stalled_since_s = now
         elif now - link.stalled_since_s > STALLED_AFTER_S:
             self.counters.redialled += 1
-            self._hang_up(address)
+            self._disconnect(address)
 
-    def _hang_up(self, address: str) -> None:
+    def _disconnect(self, address: str) -> None:
         self._links.pop(address).socket.close()
 
     @handler("_read")
--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_shutdown.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_shutdown.py
@@ -24,7 +24,7 @@
 NOTICE_S = 1.0
 EXIT_POLL_S = 0.05
 EXIT_LINGER_S = 2.0
-EXIT_FORCED = 1
+FORCED_EXIT_STATUS = 1
 
 
 class StopState(msgspec.Struct):
@@ -50,14 +50,14 @@
         return
     if app.stop_state.requested_at_s is not None:
         app.write("instance.stopped_at_once")
-        raise SystemExit(EXIT_FORCED)
+        raise SystemExit(FORCED_EXIT_STATUS)
     app.stop_state.requested_at_s = app.scheduler.clock()
     app.server.close_after_answers()
     app.post(events.StopRequested())
     app.scheduler.call_later(app.settings.drain_timeout_s, partial(_end_drain, app))
 
 
-def on_leave(app: "App", _effect: effects.Exit) -> None:
+def on_exit(app: "App", _effect: effects.Exit) -> None:
     """
     Start the exit once the notice period is over; the core repeats the effect with each tick.
 
