--- a/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_machine_adapter.py
+++ b/packages/eelgrassdrum-daemon/src/eelgrassdrum_daemon/_machine_adapter.py
@@ -66,7 +66,7 @@
     :param base: base URL of the platform's instance list.
     :param pool: connection pool for it.
     :param post: called with each event.
-    :param write_line: called with a log line at the first failed read after a successful one.
+    :param write_line: called with one log line for each series of failed reads.
     :returns: handler of each effect type.
     """
     is_failing = False
--- a/packages/eelgrassdrum-daemon/tests/test_faults.py
+++ b/packages/eelgrassdrum-daemon/tests/test_faults.py
@@ -1,5 +1,5 @@
 """
-Faults of the platform, of endpoints and between entry instances, against running processes.
+Fault injection into the platform, endpoints and entry instances as running processes.
 """
 
 import itertools
@@ -16,7 +16,7 @@
 PATH = "/v1/queues/show/scores/requests"
 ROOT_KEY = "egd_root_first"
 MAX_RUN_S = 1.0
-# Three, because an id is claimed by a majority, and of two instances that would be both.
+# Three, because claiming an id takes a majority, and a majority of two instances is both.
 ENTRIES = ("entry-a1", "entry-a2", "entry-a3")
 NUMBERS = itertools.count(1)
 DOCUMENT = {
@@ -105,14 +105,14 @@
 
 def unique(name: str) -> str:
     """
-    Give a request id that no other request has, since a repeat gets the first one's answer.
+    Return a unique request id, since a repeated id gets the response to the first request.
     """
     return f"{name}-{next(NUMBERS)}"
 
 
 def starts(running: Running, request_id: str) -> int:
     """
-    Count how often a request was started at any endpoint.
+    Return how many times a request was started at all endpoints.
     """
     return sum(
         run[0] == request_id
@@ -126,7 +126,7 @@
 
 def test_log_outage_keeps_callers_served(running: Running) -> None:
     """
-    With the log out, granted keys go on working, and later records take effect when it is back.
+    Granted keys work during a log outage, and later records take effect after it.
     """
     log = running.platform.log.address
     call(log, "POST", "/faults", {"outage": True})
@@ -143,7 +143,7 @@
 
 def test_list_outage_keeps_callers_served(running: Running) -> None:
     """
-    With the list out or answering rubbish, known endpoints go on being used.
+    Known endpoints stay in use while the list is down or returns malformed data.
     """
     for faults in ({"outage": True}, {"rubbish": True}):
         call(running.platform.list.address, "POST", "/faults", faults)
@@ -154,8 +154,8 @@
 
 def test_silent_connections_lose_and_double_nothing(running: Running) -> None:
     """
-    When open connections to an endpoint go silent, each request is answered or told that its
-    outcome is unknown, none runs twice, and new connections take over.
+    When open connections to an endpoint stop responding, each request is answered or reported
+    as having an unknown outcome, none runs twice, and new connections replace them.
     """
     daemon = running.daemons[0]
     for number in range(8):
@@ -173,7 +173,7 @@
 
 def test_dead_endpoint_is_passed_over(running: Running) -> None:
     """
-    When an endpoint's process is gone, requests go to the other one before the list knows.
+    Requests go to the other endpoint after one was killed, before the list reflects it.
     """
     running.endpoints["ep-1"].popen.kill()
     running.endpoints["ep-1"].popen.wait()
@@ -187,7 +187,7 @@
 
 def test_leaving_endpoint_gets_no_new_work(running: Running) -> None:
     """
-    An endpoint that refuses because it leaves gets nothing new, and no request is lost by it.
+    An endpoint that refuses because it is leaving gets no new requests, and none is lost.
     """
     call(running.endpoints["ep-1"].address, "POST", "/control", {"leave": True})
     for daemon in running.daemons:
@@ -198,7 +198,7 @@
 
 def test_entry_instances_know_each_other(running: Running) -> None:
     """
-    Members see each other alive, and see one that was stopped as leaving or gone.
+    Members see each other as alive, and a stopped one as no longer alive.
     """
     first, _, second = running.daemons
 
@@ -214,7 +214,7 @@
 
 def test_paused_instance_holds_nobody_up(running: Running) -> None:
     """
-    While one entry instance is paused the others serve, and it serves again after it goes on.
+    The others serve while an entry instance is paused, and it serves again once resumed.
     """
     first, _, second = running.daemons
     pause(second)
--- a/packages/eelgrassdrum-daemon/tests/test_machine_adapter.py
+++ b/packages/eelgrassdrum-daemon/tests/test_machine_adapter.py
@@ -1,5 +1,5 @@
 """
-The adapter for the platform's calls on instances of pools.
+Tests of the adapter for the platform's API for instances of pools.
 """
 
 import msgspec
@@ -22,7 +22,7 @@
 
 class Calls(msgspec.Struct):
     """
-    Takes what the adapter sends and posts.
+    Records the requests, events and log lines of the adapter.
     """
 
     sent: list[ClientRequest] = msgspec.field(default_factory=list)
@@ -31,13 +31,13 @@
 
     def submit(self, req: ClientRequest) -> None:
         """
-        Keep a request instead of sending it.
+        Record a request instead of sending it.
         """
         self.sent.append(req)
 
     def carry_out(self, effect: object, answer: object) -> None:
         """
-        Carry an effect out and answer it.
+        Execute an effect and complete its request with an outcome.
         """
         base = parse_base_url("http://127.0.0.1:2")
         table = make_machine_effects(base, self, self.posted.append, self.lines.append)
@@ -50,13 +50,13 @@
 
 def answer(data: object) -> HttpAnswer:
     """
-    Encode a good answer.
+    Build a successful response with JSON data.
     """
     return HttpAnswer(200, {}, msgspec.json.encode(data))
 
 
 def test_the_inventory_is_read_by_changes(calls: Calls) -> None:
-    """A read names the version that is known, and its answer becomes an event."""
+    """A read sends the known version, and the valid entries of its response become an event."""
     found = {**INVENTORY, "instances": [{"id": "broken"}, INSTANCE]}
     calls.carry_out(messages.ReadInventory(7.0, ("fleet",), 3), answer(found))
     assert calls.sent[0].path == "/v1/machines?shards=fleet&since=3"
@@ -66,7 +66,7 @@
 
 
 def test_a_call_carries_its_epoch(calls: Calls) -> None:
-    """A join names pool and epoch, and the platform's word is passed on."""
+    """A join sends pool and epoch, and the state that the platform returns is reported."""
     calls.carry_out(messages.JoinPool("i1", "fleet/judging", 12), answer({"state": "refused"}))
     assert calls.sent[0].path == "/v1/machines/i1/join"
     assert msgspec.json.decode(calls.sent[0].body) == {"epoch": 12, "pool": "fleet/judging"}
@@ -74,7 +74,7 @@
 
 
 def test_unreadable_answers_say_nothing(calls: Calls) -> None:
-    """Lost, malformed and unknown answers become no event, so that the call is repeated."""
+    """Lost, malformed and unknown responses post no event, so that the call is retried."""
     bad = (HttpFailure("timeout", True), HttpAnswer(200, {}, b"x"), answer({"state": "maybe"}))
     for outcome in bad:
         calls.carry_out(messages.DrainInstance("i1", 3), outcome)
--- a/packages/eelgrassdrum-daemon/tests/test_pools_process.py
+++ b/packages/eelgrassdrum-daemon/tests/test_pools_process.py
@@ -1,5 +1,5 @@
 """
-Pools through running entry instances: taken in, moved, and maintained.
+Pools managed by running entry instances: instances are added, moved and maintained.
 """
 
 from collections.abc import Iterator
@@ -29,7 +29,7 @@
 
 class Running(NamedTuple):
     """
-    The platform, two entry instances and an operator.
+    The platform, two entry instances and the writer for an operator's records.
     """
 
     platform: fleet.Platform
@@ -66,7 +66,7 @@
 
 def members(daemon: Process) -> dict[str, list[str]]:
     """
-    Read the instances of each pool, as far as nothing is under way.
+    Return the instances of each pool without operations under way.
     """
     pools = get(daemon, "status")["pools"]
     return {item["pool"]: item["instances"] for item in pools if not item["under_way"]}
@@ -78,7 +78,7 @@
 
 
 def test_an_instance_is_moved_and_maintained(running: Running) -> None:
-    """Instances are taken in, one is moved by an operator's wish, and a round reboots each."""
+    """Instances are added, one is moved at an operator's request, and a round reboots each."""
     first = {"fleet/judging": ["j1", "j2"], "fleet/spare": ["s1"]}
     for daemon in running.daemons:
         wait_until(lambda daemon=daemon: members(daemon) == first, TIMEOUT_S)
@@ -90,7 +90,7 @@
         wait_until(lambda daemon=daemon: members(daemon) == moved, TIMEOUT_S)
     order = {"shard": "fleet", "action": "start", "author": "op"}
     fleet.append(running.writer, "maintenance.ordered", "maintenance/fleet", order)
-    # The order is in force once the instances are due, and done when none is any more.
+    # The order is in force once the instances are due, and complete when none is due any more.
     wait_until(lambda: get(running.daemons[0], "maintenance/fleet")["round"]["offset"], TIMEOUT_S)
     wait_until(lambda: get(running.daemons[0], "maintenance/fleet")["due"] == 0, TIMEOUT_S)
     listed = call(running.platform.list.address, "GET", "/v1/machines?shards=fleet&since=0")
--- a/packages/eelgrassdrum-daemon/tests/test_recovery_processes.py
+++ b/packages/eelgrassdrum-daemon/tests/test_recovery_processes.py
@@ -1,5 +1,5 @@
 """
-Entry instances as processes that start from a snapshot, or from each other with the log gone.
+Recovery of entry instance processes from a snapshot, or from peers while the log is down.
 """
 
 from collections.abc import Iterator
@@ -21,7 +21,7 @@
 
 class Running(NamedTuple):
     """
-    The processes, and what starts more of them.
+    The running processes, and the function that starts more.
     """
 
     start: Start
@@ -40,7 +40,7 @@
 
 def start_listed(start: Start, platform: fleet.Platform, name: str) -> Process:
     """
-    Start an entry instance, and list it.
+    Start an entry instance and add it to the platform's instance list.
     """
     daemon = fleet.start_daemon(start, platform, name, "a", list_interval_s=0.2)
     entry = {
@@ -58,7 +58,7 @@
 
 def append_many(running: Running, first: int, count: int) -> None:
     """
-    Append grants in batches.
+    Append records of granted keys in batches.
     """
     path = "/v1/streams/control/records"
     for begin in range(first, first + count, BATCH):
@@ -85,14 +85,14 @@
 
 def is_ready(daemon: Process) -> bool:
     """
-    Tell whether an instance says that it may be sent callers.
+    Return whether an instance reports that it is ready.
     """
     return call(daemon.address, "GET", "/readyz").status == 200
 
 
 def snapshot_head(running: Running) -> int:
     """
-    Give the offset of the newest chunk in the log.
+    Return the offset of the newest snapshot chunk in the log.
     """
     path = "/v1/streams/snapshots/records?from=1&limit=1&wait=0"
     return call(running.platform.log.address, "GET", path).json()["head"]
@@ -103,7 +103,7 @@
 
 def test_new_process_starts_from_a_snapshot_and_then_without_log(running: Running) -> None:
     """
-    A second instance is ready though the log dropped its beginning, a third though the log is gone.
+    A second instance gets ready after the log truncated its start, a third while the log is down.
     """
     wait_until(lambda: is_ready(running.daemon), READY_TIMEOUT_S)
     append_many(running, 1, RECORDS)
