--- a/packages/eelgrassdrum-daemon/tests/test_machine_adapter.py
+++ b/packages/eelgrassdrum-daemon/tests/test_machine_adapter.py
@@ -35,7 +35,7 @@
         """
         self.sent.append(req)
 
-    def carry_out(self, effect: object, answer: object) -> None:
+    def execute(self, effect: object, answer: object) -> None:
         """
         Execute an effect and complete its request with an outcome.
         """
@@ -58,7 +58,7 @@
 def test_the_inventory_is_read_by_changes(calls: Calls) -> None:
     """A read sends the known version, and the valid entries of its response become an event."""
     found = {**INVENTORY, "instances": [{"id": "broken"}, INSTANCE]}
-    calls.carry_out(messages.ReadInventory(7.0, ("fleet",), 3), answer(found))
+    calls.execute(messages.ReadInventory(7.0, ("fleet",), 3), answer(found))
     assert calls.sent[0].path == "/v1/machines?shards=fleet&since=3"
     [event] = calls.posted
     assert event.instances == (messages.InventoryInstance(**INSTANCE),)
@@ -67,7 +67,7 @@
 
 def test_a_call_carries_its_epoch(calls: Calls) -> None:
     """A join sends pool and epoch, and the state that the platform returns is reported."""
-    calls.carry_out(messages.JoinPool("i1", "fleet/judging", 12), answer({"state": "refused"}))
+    calls.execute(messages.JoinPool("i1", "fleet/judging", 12), answer({"state": "refused"}))
     assert calls.sent[0].path == "/v1/machines/i1/join"
     assert msgspec.json.decode(calls.sent[0].body) == {"epoch": 12, "pool": "fleet/judging"}
     assert calls.posted == [messages.StepReported("i1", "join", 12, "refused")]
@@ -77,7 +77,7 @@
     """Lost, malformed and unknown responses post no event, so that the call is retried."""
     bad = (HttpFailure("timeout", True), HttpAnswer(200, {}, b"x"), answer({"state": "maybe"}))
     for outcome in bad:
-        calls.carry_out(messages.DrainInstance("i1", 3), outcome)
-        calls.carry_out(messages.ReadInventory(0.0, (), 0), outcome)
+        calls.execute(messages.DrainInstance("i1", 3), outcome)
+        calls.execute(messages.ReadInventory(0.0, (), 0), outcome)
     assert calls.posted == []
     assert len(calls.lines) == len(bad)
--- a/packages/eelgrassdrum-daemon/tests/test_pools_process.py
+++ b/packages/eelgrassdrum-daemon/tests/test_pools_process.py
@@ -83,8 +83,8 @@
     for daemon in running.daemons:
         wait_until(lambda daemon=daemon: members(daemon) == first, TIMEOUT_S)
     running.writer.revisions["move/s1"] = subject_revision(running, "move/s1")
-    wish = {"instance": "s1", "pool": "fleet/judging", "author": "op"}
-    fleet.append(running.writer, "move.requested", "move/s1", wish)
+    move_request = {"instance": "s1", "pool": "fleet/judging", "author": "op"}
+    fleet.append(running.writer, "move.requested", "move/s1", move_request)
     moved = {"fleet/judging": ["j1", "j2", "s1"], "fleet/spare": []}
     for daemon in running.daemons:
         wait_until(lambda daemon=daemon: members(daemon) == moved, TIMEOUT_S)
